--- a/src/core/edge.cpp
+++ b/src/core/edge.cpp
@@ -12,8 +12,8 @@
 namespace chalksail::core {
 
 using engine::Ending;
-using observe::Fate;
 using observe::ReleaseReason;
+using observe::Termination;
 
 namespace {
 
@@ -31,27 +31,27 @@
 }  // namespace
 
 namespace {
-class Module : public Decider {
+class Module : public RoutingPolicy {
 public:
-    explicit Module(const config::EdgeSettings& settings) : brain_(settings.module, settings.seed) {}
+    explicit Module(const config::EdgeSettings& settings) : router_(settings.module, settings.seed) {}
     std::vector<Action> step(Time now, std::span<const Event> events) override {
-        return brain_.step(now, events);
+        return router_.step(now, events);
     }
-    std::size_t tracked_requests() const override { return brain_.tracked_requests(); }
+    std::size_t tracked_requests() const override { return router_.tracked_requests(); }
 
 private:
-    Brain brain_;
+    Router router_;
 };
 }  // namespace
 
 Edge::Edge(const config::EdgeSettings& settings, std::shared_ptr<const engine::Vocabulary> vocabulary)
     : Edge(settings, std::make_unique<Module>(settings), std::move(vocabulary)) {}
 
-Edge::Edge(const config::EdgeSettings& settings, std::unique_ptr<Decider> decider,
+Edge::Edge(const config::EdgeSettings& settings, std::unique_ptr<RoutingPolicy> routing_policy,
            std::shared_ptr<const engine::Vocabulary> vocabulary)
     : settings_(settings),
-      decider_(std::move(decider)),
-      convention_(make_convention(settings)),
+      routing_policy_(std::move(routing_policy)),
+      protocol_(make_convention(settings)),
       verification_({settings.limits.unverified_pause, settings.limits.unverified_longest}) {
     const bool any = std::any_of(settings_.kinds.begin(), settings_.kinds.end(),
                                  [](const auto& k) { return k.cache_events; });
@@ -108,22 +108,22 @@
             started_,
             calls_.size(),
             held_,
-            decider_->tracked_requests(),
+            routing_policy_->tracked_requests(),
             verification_.count(),
             prefixes_ == nullptr ? prefix::Knowledge::Counts{} : prefixes_->counts()};
 }
 
-std::vector<ListedServer> Edge::listed() const {
-    std::vector<ListedServer> out;
+std::vector<membership::EndpointConfig> Edge::listed() const {
+    std::vector<membership::EndpointConfig> out;
     for (const auto& [id, s] : servers_) out.push_back(s);
     return out;
 }
 
-Edge::Open* Edge::find(RequestId id) {
+Edge::ActiveRequest* Edge::find(RequestId id) {
     const auto it = open_.find(id.value);
     return it == open_.end() ? nullptr : it->second.get();
 }
-Edge::Open* Edge::find(ClientId client) {
+Edge::ActiveRequest* Edge::find(ClientId client) {
     const auto it = by_client_.find(client.value);
     return it == by_client_.end() ? nullptr : find(it->second);
 }
@@ -136,65 +136,67 @@
 // ================= clients =================
 
 void Edge::reply(ClientId client, Answer answer) {
-    emit(Reply{client, answer.status, std::move(answer.headers), std::move(answer.body)});
+    emit(SendResponse{client, answer.status, std::move(answer.headers), std::move(answer.body)});
 }
 
 void Edge::on(ClientRequest& in) {
-    if (auto answer = convention_->answer(in.request, draining_)) return reply(in.client, std::move(*answer));
+    if (auto answer = protocol_->answer(in.request, draining_)) return reply(in.client, std::move(*answer));
     take(in.client, in.request);
 }
 
 void Edge::take(ClientId client, http::Request& request) {
     const std::uint64_t number = ++last_request_;
-    const auto turn_away = [&](Rejection why, Fate fate, const char* reason) {
+    const auto reject = [&](Rejection why, Termination fate, const char* reason) {
         observe::RequestRecord record;
         record.request = std::move(why.name);
         record.client_request = std::move(why.client_name);
         record.fate = fate;
         record.status = why.answer.status;
         record.reason = reason;
-        emit(Note{record});
+        emit(EmitRecord{record});
         reply(client, std::move(why.answer));
     };
-    using Away = Convention::Away;
+    using RejectionReason = Protocol::RejectionReason;
     if (draining_)
-        return turn_away(convention_->turn_away(request, number, Away::draining), Fate::refused, "draining");
+        return reject(protocol_->reject(request, number, RejectionReason::draining), Termination::refused,
+                      "draining");
     if (unanswered_ >= static_cast<std::size_t>(settings_.limits.open_requests) ||
         request_bytes_ + request.body.size() > settings_.limits.request_bytes)
-        return turn_away(convention_->turn_away(request, number, Away::limit), Fate::refused, "limit");
+        return reject(protocol_->reject(request, number, RejectionReason::limit), Termination::refused,
+                      "limit");
     const std::size_t bytes = request.body.size();
-    auto in = convention_->take_in(request, number);
-    if (!in) return turn_away(std::move(in.error()), Fate::rejected, "invalid");
-    auto open = std::make_unique<Open>();
-    Open& r = *open;
+    auto in = protocol_->take_in(request, number);
+    if (!in) return reject(std::move(in.error()), Termination::rejected, "invalid");
+    auto open = std::make_unique<ActiveRequest>();
+    ActiveRequest& r = *open;
     r.id = {number};
     r.client = client;
     r.in = std::move(*in);
     r.body_bytes = bytes;
     request_bytes_ += bytes;
     r.arrived = now_;
-    if (answered_by_ != Time::max() && settings_.module.resume) r.moves_at = answered_by_;
+    if (answered_by_ != Time::max() && settings_.module.stream_resumption_enabled) r.moves_at = answered_by_;
     r.deadline =
         std::min(now_ + std::max(settings_.module.tick, r.in.deadline - settings_.module.answer_slack),
                  std::max(answered_by_, now_ + settings_.module.tick));
 
-    Arrived arrived;
+    RequestArrived arrived;
     arrived.id = r.id;
     arrived.class_name = settings_.module.classes[r.in.cls].name;
     arrived.tenant = r.in.tenant;
     arrived.session = r.in.session;
     arrived.prefix = r.in.prefix;
-    arrived.time_left = r.deadline - now_;
-    arrived.length_hint = r.in.length_hint;
+    arrived.time_remaining = r.deadline - now_;
+    arrived.output_duration_hint = r.in.length_hint;
     arrived.prompt_tokens = r.in.prompt_tokens;
     arrived.shared_tokens = r.in.shared_tokens;
     arrived.max_output = r.in.max_output;
     arrived.retry = r.in.retry;
-    arrived.again = r.in.again;
+    arrived.resumes_stream = r.in.again;
     if (prefixes_ != nullptr) {
         r.claims = claims(r);
         for (const auto& c : r.claims)
-            if (prefixes_->told(c.server.value)) arrived.known.push_back(c);
+            if (prefixes_->told(c.server.value)) arrived.cached_prefixes.push_back(c);
     }
     events_.emplace_back(std::move(arrived));
 
@@ -205,12 +207,13 @@
 }
 
 void Edge::on(const ClientClosed& in) {
-    Open* r = find(in.client);
+    ActiveRequest* r = find(in.client);
     if (r == nullptr || r->answered) return;
     const RequestId id = r->id;
-    events_.emplace_back(ClientGone{id});
-    if (!in.detail.empty()) r->trail += (r->trail.empty() ? "client:" : " client:") + in.detail;
-    finish(*r, Fate::client_gone, 0,
+    events_.emplace_back(ClientDisconnected{id});
+    if (!in.detail.empty())
+        r->attempt_history += (r->attempt_history.empty() ? "client:" : " client:") + in.detail;
+    finish(*r, Termination::client_gone, 0,
            r->started ? "hung_up_streaming"
            : r->call  ? "hung_up_attempt"
                       : "hung_up_held");
@@ -234,8 +237,8 @@
     for (const auto& [client, id] : by_client_) all.push_back(id);
     std::sort(all.begin(), all.end());
     for (const RequestId id : all) {
-        Open& r = *find(id);
-        events_.emplace_back(ClientGone{id});
+        ActiveRequest& r = *find(id);
+        events_.emplace_back(ClientDisconnected{id});
         fail(r, 503, "drain", "this gateway has ended");
         if (r.call) {
             const CallId call = *r.call;
@@ -248,13 +251,13 @@
 }
 
 void Edge::on(const ClientBacklog& in) {
-    Open* r = find(in.client);
+    ActiveRequest* r = find(in.client);
     if (r == nullptr || !r->call) return;
     auto& call = calls_.at(*r->call);
     if (call.paused == in.full) return;
     call.paused = in.full;
     r->last_chunk = now_;
-    emit(CallFlow{call.id, in.full});
+    emit(SetCallPaused{call.id, in.full});
 }
 
 // ================= calls =================
@@ -273,11 +276,11 @@
 void Edge::on(CallHead& in) {
     const auto it = calls_.find(in.call);
     if (it == calls_.end()) return;
-    Outgoing& call = it->second;
+    UpstreamCall& call = it->second;
     call.sent = true;
     heard_.spoke(call.server, now_);
     call.status = in.status;
-    call.head = convention_->read_head(in.status, in.headers);
+    call.head = protocol_->read_head(in.status, in.headers);
     if (call.kind == CallKind::attempt && !call.read && in.status == 200)
         call.answer = find(call.request)->in.exchange->writer_answer();
 }
@@ -285,7 +288,7 @@
 void Edge::on(CallBody& in) {
     const auto it = calls_.find(in.call);
     if (it == calls_.end()) return;
-    Outgoing& call = it->second;
+    UpstreamCall& call = it->second;
     if (call.answer != nullptr) return take_stream(call, in.bytes);
     if (call.body.size() + in.bytes.size() <= settings_.limits.answer_bytes) {
         call.body += in.bytes;
@@ -293,14 +296,14 @@
     }
     emit(CallAbort{call.id});
     if (call.kind == CallKind::attempt) return end_attempt(call.id, Ending::bad_answer, "answer too large");
-    const Outgoing over = std::move(call);
+    const UpstreamCall over = std::move(call);
     calls_.erase(it);
     end_other(over, Ending::bad_answer, "");
 }
 
-void Edge::take_stream(Outgoing& call, std::string_view bytes) {
+void Edge::take_stream(UpstreamCall& call, std::string_view bytes) {
     const CallId id = call.id;
-    Open& r = *find(call.request);
+    ActiveRequest& r = *find(call.request);
     auto progress = call.answer->feed(bytes);
     if (progress.events > 0) {
         if (r.answered) {  // its client has gone, and the module may not call attempts off
@@ -314,16 +317,18 @@
         if (!progress.to_client.empty()) emit(StreamBytes{r.client, std::move(progress.to_client)});
     }
     switch (progress.state) {
-        case WriterAnswer::State::more: return;
-        case WriterAnswer::State::whole: emit(CallSettled{id}); return end_attempt(id, Ending::answered, "");
-        case WriterAnswer::State::spoilt:
+        case DecodeResponseParser::State::more: return;
+        case DecodeResponseParser::State::whole:
+            emit(CompleteCall{id});
+            return end_attempt(id, Ending::answered, "");
+        case DecodeResponseParser::State::spoilt:
             emit(CallAbort{id});
             return end_attempt(id, Ending::bad_answer, progress.detail);
     }
 }
 
 // Its first event is here: from now on this attempt is the client's.
-void Edge::begin_stream(Open& r, const Outgoing& call) {
+void Edge::begin_stream(ActiveRequest& r, const UpstreamCall& call) {
     r.started = true;
     r.first_chunk = now_;
     started_ += 1;
@@ -346,7 +351,7 @@
     const auto it = calls_.find(in.call);
     if (it == calls_.end()) return;
     if (it->second.kind == CallKind::attempt) return end_attempt(in.call, Ending::answered, "");
-    const Outgoing call = std::move(it->second);
+    const UpstreamCall call = std::move(it->second);
     calls_.erase(it);
     end_other(call, Ending::answered, "");
 }
@@ -358,7 +363,7 @@
         if (it->second.called_off) return end_attempt(in.call, Ending::cancelled, "called off");
         return end_attempt(in.call, in.ending, in.detail);
     }
-    const Outgoing call = std::move(it->second);
+    const UpstreamCall call = std::move(it->second);
     calls_.erase(it);
     end_other(call, in.ending, in.detail);
 }
@@ -366,23 +371,30 @@
 // The one place where an attempt ends, whatever ended it.
 void Edge::end_attempt(CallId id, Ending ending, const std::string& detail) {
     const auto it = calls_.find(id);
-    const Outgoing call = std::move(it->second);
+    const UpstreamCall call = std::move(it->second);
     calls_.erase(it);
-    Open& r = *find(call.request);
+    ActiveRequest& r = *find(call.request);
     r.call.reset();
-    if (ending == Ending::not_verified) not_verified(call.server, detail);
+    if (ending == Ending::unverified) mark_unverified(call.server, detail);
 
-    const AttemptEnd end = judge_attempt(r, call, ending);
+    const AttemptResult end = judge_attempt(r, call, ending);
     note_may_have_run(r, call, end);
-    AttemptEnded ended{r.id,  call.attempt,      {call.server},   end.judged.outcome, now_ - call.begun,
-                       false, end.judged.remark, call.head.report};
+    AttemptEnded ended{r.id,
+                       call.attempt,
+                       {call.server},
+                       end.judged.outcome,
+                       now_ - call.begun,
+                       false,
+                       end.judged.kv_state_missing,
+                       0,
+                       call.head.report};
     // The break of a stream that had started ends the request, as its good end does; so does a verdict on it.
-    ended.finished = r.answered || r.started || end.judged.clients_fault;
+    ended.request_finished = r.answered || r.started || end.judged.clients_fault;
     if (end.read_answer) {
-        ended.remark = end.read_answer->cached_tokens.value_or(0);
+        ended.cached_prompt_tokens = end.read_answer->cached_tokens.value_or(0);
         take_read_answer(r, call, *end.read_answer);
-    } else if (!call.read && end.judged.outcome == Outcome::ok && !end.judged.clients_fault) {
-        ended.remark = r.in.exchange->kept_tokens();
+    } else if (!call.read && end.judged.outcome == AttemptOutcome::ok && !end.judged.clients_fault) {
+        ended.cached_prompt_tokens = r.in.exchange->cached_tokens();
         if (const double told = r.told_prompt_tokens(); told > 0) r.in.exchange->prompt_counted(told);
     }
     settle_held(r, call, end);
@@ -392,11 +404,12 @@
     drop_if_over(call.request);
 }
 
-Edge::AttemptEnd Edge::judge_attempt(const Open& r, const Outgoing& call, Ending ending) const {
-    AttemptEnd out;
+Edge::AttemptResult Edge::judge_attempt(const ActiveRequest& r, const UpstreamCall& call,
+                                        Ending ending) const {
+    AttemptResult out;
     out.ending = ending;
     if (call.read && ending == Ending::answered)
-        out.read_answer = convention_->read_result(call.status, call.body);
+        out.read_answer = protocol_->read_result(call.status, call.body);
     engine::Facts facts;
     facts.ending = ending;
     facts.sent = call.sent;
@@ -407,18 +420,18 @@
     facts.whole = call.read ? out.read_answer.has_value() : whole_stream;
     facts.status = call.status;
     facts.not_run = call.head.not_run;
-    out.judged = convention_->judge(facts, call.server_kind);
+    out.judged = protocol_->judge(facts, call.server_kind);
     return out;
 }
 
-void Edge::note_may_have_run(Open& r, const Outgoing& call, const AttemptEnd& end) {
+void Edge::note_may_have_run(ActiveRequest& r, const UpstreamCall& call, const AttemptResult& end) {
     if (call.read || engine::proves_not_run(end.judged.outcome)) return;
     if (std::exchange(r.may_have_run, true)) return;
     r.first_run_begun = call.begun;
-    if (const auto s = servers_.find({call.server}); s != servers_.end()) r.first_run_at = s->second.entry;
+    if (const auto s = servers_.find({call.server}); s != servers_.end()) r.first_run_at = s->second.endpoint;
 }
 
-void Edge::take_read_answer(Open& r, const Outgoing& call, const ReadResult& answer) {
+void Edge::take_read_answer(ActiveRequest& r, const UpstreamCall& call, const ReadResult& answer) {
     if (prefixes_ != nullptr) {
         const auto claim = std::find_if(r.claims.begin(), r.claims.end(),
                                         [&](const auto& c) { return c.server.value == call.server; });
@@ -432,28 +445,31 @@
         r.in.exchange->prompt_counted(answer.prompt_tokens);
     }
     const auto at = servers_.find({call.server});
-    r.held = Open::Held{at == servers_.end() ? ListedServer{} : at->second, answer.state, call.attempt.value,
-                        now_};
+    r.held = ActiveRequest::Held{at == servers_.end() ? membership::EndpointConfig{} : at->second,
+                                 answer.state, call.attempt.value, now_};
     held_ += 1;
     note_held("held", r.in.name, call.server, ReleaseReason::none, now_);
 }
 
-void Edge::note_attempt(Open& r, const Outgoing& call, const AttemptEnd& end, const std::string& detail) {
+void Edge::note_attempt(ActiveRequest& r, const UpstreamCall& call, const AttemptResult& end,
+                        const std::string& detail) {
     r.last_outcome = engine::name(end.judged.outcome);
-    r.trail += (r.trail.empty() ? "" : " ") + call.server + (call.read ? ":read:" : ":write:") +
-               r.last_outcome + "/" + std::to_string(whole_ms(now_ - call.begun)) + "ms" +
-               (detail.empty() ? "" : " (" + detail + ")");
-    emit(Note{observe::AttemptRecord{r.in.name, call.attempt.value, call.server, call.read,
-                                     engine::name(end.judged.outcome), call.status, call.sent,
-                                     r.started && !call.read, now_ - call.begun, detail, call.written}});
+    r.attempt_history += (r.attempt_history.empty() ? "" : " ") + call.server +
+                         (call.read ? ":read:" : ":write:") + r.last_outcome + "/" +
+                         std::to_string(whole_ms(now_ - call.begun)) + "ms" +
+                         (detail.empty() ? "" : " (" + detail + ")");
+    emit(EmitRecord{observe::AttemptRecord{
+        r.in.name, call.attempt.value, call.server, call.read, engine::name(end.judged.outcome), call.status,
+        call.sent, r.started && !call.read, now_ - call.begun, detail, call.written}});
 }
 
 // The final answer, where this attempt's end calls for one by itself; else the module decides what follows.
-void Edge::answer_behind(Open& r, const Outgoing& call, const AttemptEnd& end, const std::string& detail) {
+void Edge::answer_behind(ActiveRequest& r, const UpstreamCall& call, const AttemptResult& end,
+                         const std::string& detail) {
     if (end.judged.clients_fault) {
         reply(r.client, r.in.exchange->verdict(call.status, call.head, call.body));
-        finish(r, Fate::rejected, call.status, "engine");
-    } else if (end.judged.outcome == Outcome::ok) {
+        finish(r, Termination::rejected, call.status, "engine");
+    } else if (end.judged.outcome == AttemptOutcome::ok) {
         if (r.in.exchange->streams()) {
             if (auto tail = r.in.exchange->stream_tail(); !tail.empty())
                 emit(StreamBytes{r.client, std::move(tail)});
@@ -461,7 +477,7 @@
         } else {
             reply(r.client, r.in.exchange->collected());
         }
-        finish(r, Fate::served, 200, "served");
+        finish(r, Termination::served, 200, "served");
     } else if (r.started) {
         const bool late = end.ending == Ending::timed_out;
         fail(r, late ? 504 : 502, late ? "stream_time" : "broken_stream",
@@ -469,8 +485,8 @@
     }
 }
 
-void Edge::end_other(const Outgoing& call, Ending ending, const std::string& detail) {
-    if (ending == Ending::not_verified) not_verified(call.server, detail);
+void Edge::end_other(const UpstreamCall& call, Ending ending, const std::string& detail) {
+    if (ending == Ending::unverified) mark_unverified(call.server, detail);
     switch (call.kind) {
         case CallKind::attempt: break;
         case CallKind::probe: return end_probe(call, ending);
@@ -479,7 +495,7 @@
         case CallKind::verify:
             std::erase_if(call_due_, [&](const auto& d) { return d.second == call.id; });
             if (ending == Ending::answered) verified(call.server);
-            else if (ending != Ending::not_verified) verification_.untold(call.server, now_);
+            else if (ending != Ending::unverified) verification_.untold(call.server, now_);
             return;
     }
 }
@@ -489,36 +505,37 @@
 void Edge::run_module() {
     for (int round = 0; !events_.empty() && round < kModuleRounds; ++round) {
         const auto events = std::exchange(events_, {});
-        for (const auto& action : decider_->step(now_, events))
-            std::visit([this](const auto& a) { act(a); }, action);
+        for (const auto& action : routing_policy_->step(now_, events))
+            std::visit([this](const auto& a) { apply(a); }, action);
     }
 }
 
 // The module keeps these by itself; here each edge makes sure. What is stopped is told to the module as never
 // sent.
-std::string Edge::guard(const Open& r, const Send& action) const {
+std::string Edge::guard(const ActiveRequest& r, const Send& action) const {
     if (r.answered) return "send after the final answer";
     if (r.call) return "second attempt while one is out";
     if (r.attempts >= settings_.module.max_attempts) return "over the attempt limit";
     if (now_ >= r.deadline) return "send after the deadline";
     const auto s = servers_.find(action.server);
     if (s == servers_.end()) return "unknown server";
-    if (s->second.entry.state != ServerState::up || verification_.out(action.server.value))
+    if (s->second.endpoint.state != EndpointState::up || verification_.out(action.server.value))
         return "server not in service";
     if (!repeat_allowed(r, action.server.value, now_)) return "an earlier attempt may have run";
     return {};
 }
 
-bool Edge::repeat_allowed(const Open& r, const std::string& server, Time now) const {
+bool Edge::repeat_allowed(const ActiveRequest& r, const std::string& server, Time now) const {
     const auto& cls = settings_.module.classes[r.in.cls];
-    if (!r.may_have_run || cls.effect == Effect::repeatable) return true;
-    if (cls.effect == Effect::once || now >= r.first_run_begun + cls.window) return false;
+    if (!r.may_have_run || cls.idempotency == Idempotency::idempotent) return true;
+    if (cls.idempotency == Idempotency::non_idempotent || now >= r.first_run_begun + cls.deduplication_window)
+        return false;
     const auto s = servers_.find({server});
     if (s == servers_.end()) return false;
-    switch (cls.group) {
-        case Group::all: return true;
-        case Group::zone: return s->second.entry.zone == r.first_run_at.zone;
-        case Group::cell: return s->second.entry.cell == r.first_run_at.cell;
+    switch (cls.deduplication_scope) {
+        case DeduplicationScope::all: return true;
+        case DeduplicationScope::zone: return s->second.endpoint.zone == r.first_run_at.zone;
+        case DeduplicationScope::cell: return s->second.endpoint.cell == r.first_run_at.cell;
     }
     return false;
 }
@@ -527,7 +544,7 @@
     const auto call = calls_.find(id);
     if (call == calls_.end()) return false;
     if (call->second.kind != CallKind::attempt) return true;
-    const Open& r = *open_.at(call->second.request.value);
+    const ActiveRequest& r = *open_.at(call->second.request.value);
     const Duration left = r.deadline - now;
     const bool in_time = !r.answered && left > Duration::zero();
     if (!in_time || !repeat_allowed(r, call->second.server, now)) return false;
@@ -535,8 +552,8 @@
     return true;
 }
 
-void Edge::act(const Send& action) {
-    Open* r = find(action.id);
+void Edge::apply(const Send& action) {
+    ActiveRequest* r = find(action.id);
     if (r == nullptr) return;
     // Guards against a release that is given up for the sake of the next attempt, and never made: what was
     // held stayed where it was.
@@ -547,31 +564,31 @@
     const auto against = guard(*r, action);
     const auto attempt = r->attempts++;
     if (!against.empty()) {
-        emit(Note{observe::GuardRecord{r->in.name, against}});
+        emit(EmitRecord{observe::GuardRecord{r->in.name, against}});
         if (!r->call)
-            events_.emplace_back(
-                AttemptEnded{r->id, {attempt}, action.server, Outcome::moot, {}, r->answered, 0, {}});
+            events_.emplace_back(AttemptEnded{
+                r->id, {attempt}, action.server, AttemptOutcome::not_sent, {}, r->answered, false, 0, {}});
         return;
     }
-    const ListedServer& s = servers_.at(action.server);
-    const bool read = role_of(s.entry.kind) == Role::prefill;
+    const membership::EndpointConfig& s = servers_.at(action.server);
+    const bool read = role_of(s.endpoint.kind) == Role::prefill;
 
     Call call;
     call.call = {++last_call_};
     call.server = action.server.value;
-    call.server_kind = s.entry.kind;
+    call.server_kind = s.endpoint.kind;
     call.address = s.address;
-    call.worth = settings_.module.classes[r->in.cls].worth;
+    call.worth = settings_.module.classes[r->in.cls].priority_weight;
     const Duration left = r->deadline - now_;
     put(call, read ? r->in.exchange->read(attempt, left)
                    : r->in.exchange->write(attempt, r->held ? r->held->state : std::string(), left));
 
-    Outgoing out;
+    UpstreamCall out;
     out.id = call.call;
     out.request = r->id;
     out.attempt = {attempt};
     out.server = call.server;
-    out.server_kind = s.entry.kind;
+    out.server_kind = s.endpoint.kind;
     out.begun = now_;
     out.read = read;
     if (action.timeout > Duration::zero()) out.timeout = now_ + action.timeout;
@@ -581,12 +598,13 @@
     emit(std::move(call));
 }
 
-void Edge::act(const Refuse& action) {
-    Open* r = find(action.id);
+void Edge::apply(const Reject& action) {
+    ActiveRequest* r = find(action.id);
     if (r == nullptr || r->answered) return;
-    const bool once_ran = r->may_have_run && settings_.module.classes[r->in.cls].effect == Effect::once;
+    const bool once_ran =
+        r->may_have_run && settings_.module.classes[r->in.cls].idempotency == Idempotency::non_idempotent;
     if (once_ran || r->started) {
-        emit(Note{observe::GuardRecord{r->in.name, "refusal of what may have run"}});
+        emit(EmitRecord{observe::GuardRecord{r->in.name, "refusal of what may have run"}});
         fail(*r, 502, "attempts", "the request failed");
         return drop_if_over(action.id);
     }
@@ -594,12 +612,12 @@
     const int status = answer.status;
     reply(r->client, std::move(answer));
     const std::string reason = r->attempts == 0 ? "held" : "attempts";
-    finish(*r, Fate::refused, status, reason);
+    finish(*r, Termination::refused, status, reason);
     drop_if_over(action.id);
 }
 
-void Edge::act(const Fail& action) {
-    Open* r = find(action.id);
+void Edge::apply(const Fail& action) {
+    ActiveRequest* r = find(action.id);
     if (r == nullptr || r->answered) return;
     const bool late = now_ >= r->deadline;
     fail(*r, late ? 504 : 502, late ? "deadline" : "attempts",
@@ -609,62 +627,63 @@
     drop_if_over(action.id);
 }
 
-void Edge::act(const CancelAttempt& action) {
-    Open* r = find(action.id);
+void Edge::apply(const CancelAttempt& action) {
+    ActiveRequest* r = find(action.id);
     if (r == nullptr || r->started) return;
     if (r->deferred) return drop_deferred(*r, r->answered);
     if (!r->call) return;
     const CallId id = *r->call;
-    if (calls_.at(id).attempt == action.attempt) call_off(id);
+    if (calls_.at(id).attempt == action.attempt) cancel(id);
 }
 
 // Guards against a read that ends well in the moment in which it is called off: closed at once, its answer is
 // lost on the way, and the prompt is read again, or its request refused, beside a read that was done.
-void Edge::call_off(CallId id) {
-    Outgoing& call = calls_.at(id);
+void Edge::cancel(CallId id) {
+    UpstreamCall& call = calls_.at(id);
     const bool answer_counts = call.read && call.written && !find(call.request)->answered;
-    if (!answer_counts || !convention_->half_close_cancels()) {
+    if (!answer_counts || !protocol_->half_close_cancels()) {
         emit(CallAbort{id});
         return end_attempt(id, Ending::cancelled, "called off");
     }
     if (std::exchange(call.called_off, true)) return;
-    emit(CallSendingEnds{id});
+    emit(HalfCloseCall{id});
     call_due_.emplace(now_ + settings_.limits.cancel_wait, id);
 }
 
 // The client comes again for the rest, which is read and written elsewhere.
-void Edge::act(const MoveStream& action) {
-    Open* r = find(action.id);
-    if (r == nullptr || !r->started || r->answered || !r->call || !settings_.module.resume) return;
+void Edge::apply(const MigrateStream& action) {
+    ActiveRequest* r = find(action.id);
+    if (r == nullptr || !r->started || r->answered || !r->call || !settings_.module.stream_resumption_enabled)
+        return;
     const CallId id = *r->call;
     emit(CallAbort{id});
-    emit(StreamCut{r->client});
-    finish(*r, Fate::failed, 0, "moved");
+    emit(AbortStream{r->client});
+    finish(*r, Termination::failed, 0, "moved");
     end_attempt(id, Ending::cancelled, "moved");
 }
 
-void Edge::act(const Wake& action) { wakes_.emplace(action.at, action.id); }
+void Edge::apply(const SetTimer& action) { wakes_.emplace(action.at, action.id); }
 
 // ================= time =================
 
-Time Edge::ends_at(const Open& r, const Outgoing& attempt) {
+Time Edge::ends_at(const ActiveRequest& r, const UpstreamCall& attempt) {
     return attempt.timeout == Time{} ? r.deadline : std::min(r.deadline, attempt.timeout);
 }
 // Called off now, could it have run?
-bool Edge::may_have_come(const Outgoing& attempt) const {
+bool Edge::may_have_come(const UpstreamCall& attempt) const {
     engine::Facts facts;
     facts.ending = Ending::cancelled;
     facts.sent = attempt.sent;
     facts.written = attempt.written;
-    return !engine::proves_not_run(convention_->judge(facts, attempt.server_kind).outcome);
+    return !engine::proves_not_run(protocol_->judge(facts, attempt.server_kind).outcome);
 }
 
-void Edge::arm(Open& r, Time at) {
+void Edge::arm(ActiveRequest& r, Time at) {
     disarm(r);
     r.due = at;
     due_.emplace(at, r.id);
 }
-void Edge::disarm(Open& r) {
+void Edge::disarm(ActiveRequest& r) {
     if (r.due != Time{}) due_.erase({r.due, r.id});
     r.due = {};
 }
@@ -684,7 +703,7 @@
             end_attempt(id, Ending::cancelled, "called off");
             continue;
         }
-        const Outgoing call = std::move(it->second);
+        const UpstreamCall call = std::move(it->second);
         calls_.erase(it);
         end_other(call, Ending::timed_out, "");
     }
@@ -700,7 +719,7 @@
     }
     while (!due_.empty() && due_.begin()->first <= now_) {
         const RequestId id = due_.begin()->second;
-        Open& r = *find(id);
+        ActiveRequest& r = *find(id);
         disarm(r);
         if (r.started) {
             // Looked at when the idle time may be over, not moved at every chunk. A client that takes nothing
@@ -741,8 +760,8 @@
             arm(r, now_ + 2 * settings_.module.tick);
             events_.emplace_back(TimerFired{{0}});
         } else {
-            emit(Note{observe::GuardRecord{r.in.name, "no final answer at the deadline"}});
-            events_.emplace_back(ClientGone{id});
+            emit(EmitRecord{observe::GuardRecord{r.in.name, "no final answer at the deadline"}});
+            events_.emplace_back(ClientDisconnected{id});
             fail(r, 504, "deadline", "no answer in time");
             drop_if_over(id);
         }
@@ -751,28 +770,28 @@
 
 // ================= ends =================
 
-void Edge::fail(Open& r, int status, std::string reason, std::string message) {
+void Edge::fail(ActiveRequest& r, int status, std::string reason, std::string message) {
     if (r.started && r.in.exchange->streams()) {
         auto last = r.in.exchange->stream_error(status, message);
         if (last) {
             emit(StreamBytes{r.client, std::move(*last)});
             emit(StreamEnd{r.client});
         } else {
-            emit(StreamCut{r.client});
+            emit(AbortStream{r.client});
         }
     } else {
-        const bool repeatable = settings_.module.classes[r.in.cls].effect == Effect::repeatable;
+        const bool repeatable = settings_.module.classes[r.in.cls].idempotency == Idempotency::idempotent;
         reply(r.client, r.in.exchange->failure(status, message, repeatable || !r.may_have_run));
     }
-    finish(r, Fate::failed, status, std::move(reason));
+    finish(r, Termination::failed, status, std::move(reason));
 }
 
-void Edge::drop_body(Open& r) {
+void Edge::drop_body(ActiveRequest& r) {
     r.in.exchange->drop_request();
     request_bytes_ -= std::exchange(r.body_bytes, 0);
 }
 
-void Edge::finish(Open& r, Fate fate, int status, std::string reason) {
+void Edge::finish(ActiveRequest& r, Termination fate, int status, std::string reason) {
     r.answered = true;
     unanswered_ -= 1;
     if (r.started) started_ -= 1;
@@ -793,14 +812,14 @@
     record.completion_tokens = r.in.exchange->completion_tokens();
     record.chunks = r.chunks;
     record.streamed = r.in.exchange->streams();
-    record.trail = r.trail;
-    emit(Note{std::move(record)});
+    record.attempt_history = r.attempt_history;
+    emit(EmitRecord{std::move(record)});
     drop_body(r);
 }
 
 // Forgets a request that has its answer and no attempt out. A state that is still held goes at once.
 void Edge::drop_if_over(RequestId id) {
-    Open* r = find(id);
+    ActiveRequest* r = find(id);
     if (r == nullptr || !r->answered || r->call) return;
     if (r->deferred) drop_deferred(*r, true);
     disarm(*r);
@@ -808,17 +827,17 @@
     open_.erase(id.value);
 }
 
-Edge::Outgoing& Edge::call_out(CallKind kind, const ListedServer& to, ServerRequest request, Time due,
-                               double worth) {
+Edge::UpstreamCall& Edge::call_out(CallKind kind, const membership::EndpointConfig& to, ServerRequest request,
+                                   Time due, double worth) {
     Call call;
     call.call = {++last_call_};
     call.kind = kind;
-    call.server = to.entry.id.value;
-    call.server_kind = to.entry.kind;
+    call.server = to.endpoint.id.value;
+    call.server_kind = to.endpoint.kind;
     call.address = to.address;
     call.worth = worth;
     put(call, std::move(request));
-    Outgoing out;
+    UpstreamCall out;
     out.id = call.call;
     out.kind = kind;
     out.server = call.server;
--- a/src/core/edge.hpp
+++ b/src/core/edge.hpp
@@ -28,12 +28,13 @@
 
 #include "base/units.hpp"
 #include "config/settings.hpp"
-#include "core/convention.hpp"
-#include "core/decider.hpp"
-#include "core/last_heard.hpp"
+#include "core/last_activity.hpp"
+#include "core/protocol.hpp"
+#include "core/routing_policy.hpp"
 #include "engine/outcome.hpp"
 #include "engine/vocabulary.hpp"
 #include "http/message.hpp"
+#include "membership/endpoint_list.hpp"
 #include "membership/verification.hpp"
 #include "observe/record.hpp"
 #include "prefix/knowledge.hpp"
@@ -80,16 +81,6 @@
     engine::Ending ending = engine::Ending::closed;
     std::string detail;
 };
-struct ListedServer {
-    ServerEntry entry;
-    Address address;
-    std::optional<Address> events;  // where it publishes its cache events, if it does; and replays past ones
-    std::optional<Address> replay;
-};
-struct ServerList {
-    ListScope scope = ListScope::complete;
-    std::vector<ListedServer> servers;
-};
 struct CacheMessage {  // of a server's cache events, or of a replay of past ones
     std::string server;
     std::uint64_t sequence = 0;
@@ -102,20 +93,21 @@
 struct CacheSnapshots {  // by server: what CacheKeep gave before this edge started
     std::map<std::string, std::string> kept;
 };
-struct TrustChanged {};  // what servers are verified against is not what it was
+struct TrustStoreChanged {};  // what servers are verified against is not what it was
 // This gateway ends soon: requests taken from now on are answered by then.
 struct ShutdownAnnounced {
     Time answered_by;
 };
 struct DrainBegins {};  // no new request is taken from now on
 struct DrainEnds {};    // every request gets its final answer now
-using Input = std::variant<ClientRequest, ClientClosed, ClientBacklog, CallSent, CallWritten, CallHead,
-                           CallBody, CallDone, CallFailed, ServerList, CacheMessage, CacheReplayEnded,
-                           CacheSnapshots, TrustChanged, ShutdownAnnounced, DrainBegins, DrainEnds>;
+using Input =
+    std::variant<ClientRequest, ClientClosed, ClientBacklog, CallSent, CallWritten, CallHead, CallBody,
+                 CallDone, CallFailed, membership::EndpointList, CacheMessage, CacheReplayEnded,
+                 CacheSnapshots, TrustStoreChanged, ShutdownAnnounced, DrainBegins, DrainEnds>;
 
 // ---- effects: what the shell is to do ----
 
-struct Reply {  // a whole answer
+struct SendResponse {  // a whole answer
     ClientId client;
     int status = 200;
     http::Headers headers;
@@ -132,7 +124,7 @@
 struct StreamEnd {
     ClientId client;
 };
-struct StreamCut {  // its connection ends, without the stream's own end
+struct AbortStream {  // its connection ends, without the stream's own end
     ClientId client;
 };
 // `verify`: only a connection whose server has proved its name; nothing is asked on it. Done, or failed.
@@ -152,14 +144,14 @@
 struct CallAbort {  // its connection is closed, or it leaves the queue; nothing more is heard of it
     CallId call;
 };
-struct CallSendingEnds {  // its connection is closed for sending; what still comes of its answer is heard
+struct HalfCloseCall {  // its connection is closed for sending; what still comes of its answer is heard
     CallId call;
 };
-struct CallSettled {  // all that was wanted of it is here; its connection may serve others once the answer
-                      // has ended
+struct CompleteCall {  // all that was wanted of it is here; its connection may serve others once the answer
+                       // has ended
     CallId call;
 };
-struct CallFlow {  // stop or go on reading its answer
+struct SetCallPaused {  // stop or go on reading its answer
     CallId call;
     bool paused = false;
 };
@@ -185,12 +177,12 @@
 struct ServerForgotten {  // off the list, and nothing of it is left here
     std::string server;
 };
-struct Note {
+struct EmitRecord {
     observe::Record record;
 };
-using Output = std::variant<Reply, StreamBegin, StreamBytes, StreamEnd, StreamCut, Call, CallAbort,
-                            CallSendingEnds, CallSettled, CallFlow, CacheFollow, CacheLeave, CacheReplay,
-                            CacheKeep, CacheDrop, ServerForgotten, Note>;
+using Output = std::variant<SendResponse, StreamBegin, StreamBytes, StreamEnd, AbortStream, Call, CallAbort,
+                            HalfCloseCall, CompleteCall, SetCallPaused, CacheFollow, CacheLeave, CacheReplay,
+                            CacheKeep, CacheDrop, ServerForgotten, EmitRecord>;
 
 struct Gauges {
     std::size_t open_requests = 0;  // without a final answer
@@ -207,7 +199,7 @@
     // The module decides. `vocabulary`: where the settings name a tokenizer.
     explicit Edge(const config::EdgeSettings& settings,
                   std::shared_ptr<const engine::Vocabulary> vocabulary = nullptr);
-    Edge(const config::EdgeSettings& settings, std::unique_ptr<Decider> decider,
+    Edge(const config::EdgeSettings& settings, std::unique_ptr<RoutingPolicy> routing_policy,
          std::shared_ptr<const engine::Vocabulary> vocabulary = nullptr);
     ~Edge();
     Edge(const Edge&) = delete;
@@ -223,13 +215,13 @@
     [[nodiscard]] bool may_begin(Time now, CallId call, http::Headers& headers) const;
     [[nodiscard]] Gauges gauges() const;
     // Names and states of the servers listed, for operators.
-    [[nodiscard]] std::vector<ListedServer> listed() const;
+    [[nodiscard]] std::vector<membership::EndpointConfig> listed() const;
     [[nodiscard]] std::size_t server_count() const { return servers_.size(); }
 
 private:
-    struct Open;
-    struct Outgoing;
-    struct AttemptEnd;
+    struct ActiveRequest;
+    struct UpstreamCall;
+    struct AttemptResult;
 
     // clients
     void on(ClientRequest& in);
@@ -244,28 +236,30 @@
     void on(CallBody& in);
     void on(const CallDone& in);
     void on(const CallFailed& in);
-    void take_stream(Outgoing& call, std::string_view bytes);
-    void begin_stream(Open& open, const Outgoing& call);
+    void take_stream(UpstreamCall& call, std::string_view bytes);
+    void begin_stream(ActiveRequest& open, const UpstreamCall& call);
     void end_attempt(CallId id, engine::Ending ending, const std::string& detail);
-    [[nodiscard]] AttemptEnd judge_attempt(const Open& open, const Outgoing& call,
-                                           engine::Ending ending) const;
-    void note_may_have_run(Open& open, const Outgoing& call, const AttemptEnd& end);
-    void take_read_answer(Open& open, const Outgoing& call, const ReadResult& answer);
-    void settle_held(Open& open, const Outgoing& call, const AttemptEnd& end);
-    [[nodiscard]] static bool may_have_left_a_state(const Outgoing& call, const AttemptEnd& end);
-    void note_attempt(Open& open, const Outgoing& call, const AttemptEnd& end, const std::string& detail);
-    void answer_behind(Open& open, const Outgoing& call, const AttemptEnd& end, const std::string& detail);
-    void call_off(CallId id);
-    void end_other(const Outgoing& call, engine::Ending ending, const std::string& detail);
-    void end_probe(const Outgoing& call, engine::Ending ending);
-    void end_release(const Outgoing& call, engine::Ending ending);
-    void end_lease(const Outgoing& call, engine::Ending ending);
+    [[nodiscard]] AttemptResult judge_attempt(const ActiveRequest& open, const UpstreamCall& call,
+                                              engine::Ending ending) const;
+    void note_may_have_run(ActiveRequest& open, const UpstreamCall& call, const AttemptResult& end);
+    void take_read_answer(ActiveRequest& open, const UpstreamCall& call, const ReadResult& answer);
+    void settle_held(ActiveRequest& open, const UpstreamCall& call, const AttemptResult& end);
+    [[nodiscard]] static bool may_have_left_a_state(const UpstreamCall& call, const AttemptResult& end);
+    void note_attempt(ActiveRequest& open, const UpstreamCall& call, const AttemptResult& end,
+                      const std::string& detail);
+    void answer_behind(ActiveRequest& open, const UpstreamCall& call, const AttemptResult& end,
+                       const std::string& detail);
+    void cancel(CallId id);
+    void end_other(const UpstreamCall& call, engine::Ending ending, const std::string& detail);
+    void end_probe(const UpstreamCall& call, engine::Ending ending);
+    void end_release(const UpstreamCall& call, engine::Ending ending);
+    void end_lease(const UpstreamCall& call, engine::Ending ending);
     // list
-    void on(const ServerList& in);
+    void on(const membership::EndpointList& in);
     void on(const ShutdownAnnounced& in) { answered_by_ = in.answered_by; }
     void on(const DrainBegins&) { draining_ = true; }
     void on(const DrainEnds&);
-    void on(const TrustChanged&) { verification_.all_changed(now_); }
+    void on(const TrustStoreChanged&) { verification_.all_changed(now_); }
     // What servers keep, by their cache events.
     void on(const CacheMessage& in);
     void on(const CacheReplayEnded& in);
@@ -273,50 +267,50 @@
     void keep_snapshot();
     void follow_caches();
     void tell_prefixes();
-    [[nodiscard]] std::vector<KnownPrefix> claims(const Open& open) const;
+    [[nodiscard]] std::vector<CachedPrefix> claims(const ActiveRequest& open) const;
     // Servers that did not prove their name: for the module they drain until they do.
-    void not_verified(const std::string& server, const std::string& detail);
+    void mark_unverified(const std::string& server, const std::string& detail);
     void verified(const std::string& server);
     void try_verification();
-    void keep_back(const std::set<std::string>& servers);
+    void withhold(const std::set<std::string>& servers);
     // the module's actions
     void run_module();
-    void act(const Send& action);
-    void act(const Refuse& action);
-    void act(const Fail& action);
-    void act(const CancelAttempt& action);
-    void act(const Release& action);
-    void act(const MoveStream& action);
-    void act(const RequestLease& action);
-    void act(const Probe& action);
-    void act(const Wake& action);
-    void act(const FollowList&) {}  // the list is pushed
+    void apply(const Send& action);
+    void apply(const Reject& action);
+    void apply(const Fail& action);
+    void apply(const CancelAttempt& action);
+    void apply(const ReleaseKvState& action);
+    void apply(const MigrateStream& action);
+    void apply(const Reserve& action);
+    void apply(const HealthCheck& action);
+    void apply(const SetTimer& action);
+    void apply(const WatchEndpoints&) {}  // the list is pushed
     // May this be sent? Says what speaks against it.
-    [[nodiscard]] std::string guard(const Open& open, const Send& action) const;
+    [[nodiscard]] std::string guard(const ActiveRequest& open, const Send& action) const;
     // By the effect of its class: may another attempt begin at this time, at a server that can be told apart
     // by its zone and cell?
-    [[nodiscard]] bool repeat_allowed(const Open& open, const std::string& server, Time now) const;
+    [[nodiscard]] bool repeat_allowed(const ActiveRequest& open, const std::string& server, Time now) const;
     // time
     void fire_due();
-    [[nodiscard]] static Time ends_at(const Open& open, const Outgoing& attempt);
-    [[nodiscard]] bool may_have_come(const Outgoing& attempt) const;
+    [[nodiscard]] static Time ends_at(const ActiveRequest& open, const UpstreamCall& attempt);
+    [[nodiscard]] bool may_have_come(const UpstreamCall& attempt) const;
     // When what is held for it, or may be, has to be released, if no attempt is known to be with a server.
-    [[nodiscard]] std::optional<Time> release_due(const Open& open) const;
+    [[nodiscard]] std::optional<Time> release_due(const ActiveRequest& open) const;
     // The next look at a request with an attempt out: its end, or sooner what is held.
-    [[nodiscard]] Time attempt_due(const Open& open, const Outgoing& attempt) const;
-    void look_at_unanswered(Open& open);
-    void release_beside_attempt(Open& open, observe::ReleaseReason reason);
-    void arm(Open& open, Time at);
-    void disarm(Open& open);
+    [[nodiscard]] Time attempt_due(const ActiveRequest& open, const UpstreamCall& attempt) const;
+    void look_at_unanswered(ActiveRequest& open);
+    void release_beside_attempt(ActiveRequest& open, observe::ReleaseReason reason);
+    void arm(ActiveRequest& open, Time at);
+    void disarm(ActiveRequest& open);
     // ends
-    void fail(Open& open, int status, std::string reason, std::string message);
-    void finish(Open& open, observe::Fate fate, int status, std::string reason);
-    void drop_body(Open& open);
+    void fail(ActiveRequest& open, int status, std::string reason, std::string message);
+    void finish(ActiveRequest& open, observe::Termination fate, int status, std::string reason);
+    void drop_body(ActiveRequest& open);
     void drop_if_over(RequestId id);
-    void release_state(Open& open, observe::ReleaseReason reason);
+    void release_state(ActiveRequest& open, observe::ReleaseReason reason);
     // Sends what is no attempt; it is given up at `due`.
-    Outgoing& call_out(CallKind kind, const ListedServer& to, ServerRequest request, Time due,
-                       double worth = 0);
+    UpstreamCall& call_out(CallKind kind, const membership::EndpointConfig& to, ServerRequest request,
+                           Time due, double worth = 0);
     // Which servers have been asked for one release, in how many rounds, and whether one has taken it.
     struct ReleaseProgress {
         std::set<std::string> asked;
@@ -333,7 +327,7 @@
         std::shared_ptr<ReleaseProgress> progress = nullptr;  // of all calls for one release
         bool leads = true;                                    // its failure is followed by the next round
     };
-    CallId release_call(ReleaseAttempt release, const ListedServer& holder);
+    CallId release_call(ReleaseAttempt release, const membership::EndpointConfig& holder);
     // Another round, behind one whose leading call failed at that server.
     void ask_more_servers(ReleaseAttempt release, RequestId request, const std::string& failed_at);
     void note_held(std::string_view what, const std::string& request, const std::string& server,
@@ -341,15 +335,16 @@
     void release_pending();
     // A release call that covers the whole request would take what a new attempt gets: while one is on its
     // way out, the attempt is put off.
-    [[nodiscard]] bool release_under_way(const Open& open) const;
+    [[nodiscard]] bool release_under_way(const ActiveRequest& open) const;
     void resume_deferred(RequestId id);
-    void drop_deferred(Open& open, bool finished);
-    [[nodiscard]] const ListedServer* server_for_release(const std::set<std::string>& asked) const;
+    void drop_deferred(ActiveRequest& open, bool finished);
+    [[nodiscard]] const membership::EndpointConfig* server_for_release(
+        const std::set<std::string>& asked) const;
     [[nodiscard]] Duration release_timeout() const;
     [[nodiscard]] bool release_covers_request() const;
 
-    Open* find(RequestId id);
-    Open* find(ClientId client);
+    ActiveRequest* find(RequestId id);
+    ActiveRequest* find(ClientId client);
     [[nodiscard]] Role role_of(const std::string& kind) const;
     template <class E>
     void emit(E effect) {
@@ -357,17 +352,18 @@
     }
 
     config::EdgeSettings settings_;
-    std::unique_ptr<Decider> decider_;
-    std::unique_ptr<Convention> convention_;
+    std::unique_ptr<RoutingPolicy> routing_policy_;
+    std::unique_ptr<Protocol> protocol_;
     Time now_{};
     Time answered_by_ = Time::max();
     bool draining_ = false;
     std::vector<Output> effects_;
-    std::vector<Event> events_;                                      // for the module, at its next step
-    std::unordered_map<std::uint64_t, std::unique_ptr<Open>> open_;  // by request; looked up, never walked
-    std::unordered_map<std::uint64_t, RequestId> by_client_;         // the same
-    std::map<CallId, Outgoing> calls_;
-    std::map<ServerId, ListedServer> servers_;
+    std::vector<Event> events_;  // for the module, at its next step
+    std::unordered_map<std::uint64_t, std::unique_ptr<ActiveRequest>>
+        open_;                                                // by request; looked up, never walked
+    std::unordered_map<std::uint64_t, RequestId> by_client_;  // the same
+    std::map<CallId, UpstreamCall> calls_;
+    std::map<ServerId, membership::EndpointConfig> servers_;
     membership::Verification verification_;
     std::unique_ptr<prefix::Knowledge> prefixes_;  // nullptr: no kind publishes cache events
     std::map<std::string, std::pair<Address, std::optional<Address>>> followed_;
@@ -385,7 +381,7 @@
     std::size_t request_bytes_ = 0;  // of the bodies of open requests
     std::size_t held_ = 0;
     std::set<std::string> no_release_;  // servers that have no release call
-    LastHeard heard_;                   // which servers spoke last
+    LastActivity heard_;                // which servers spoke last
     std::vector<RequestId>
         pending_releases_;  // requests for which something may be held that no attempt may want
 };
--- a/src/core/edge_releases.cpp
+++ b/src/core/edge_releases.cpp
@@ -20,9 +20,9 @@
 }  // namespace
 
 // What an attempt's end means for what is held for its request.
-void Edge::settle_held(Open& r, const Outgoing& call, const AttemptEnd& end) {
+void Edge::settle_held(ActiveRequest& r, const UpstreamCall& call, const AttemptResult& end) {
     // The writer could not fetch the state; its reader may have it all the same, and must not keep it.
-    if (end.judged.outcome == Outcome::full && end.judged.remark == 1 && r.held) {
+    if (end.judged.outcome == AttemptOutcome::at_capacity && end.judged.kv_state_missing && r.held) {
         if (release_covers_request()) {
             r.pending_release = std::exchange(r.held, std::nullopt);
             held_ -= 1;
@@ -44,7 +44,7 @@
     if (release_covers_request()) {
         // One call releases what each of its reads may have left: the earliest counts.
         const Time since = r.pending_release ? r.pending_release->since : now_;
-        r.pending_release = Open::Held{s->second, "", call.attempt.value, since};
+        r.pending_release = ActiveRequest::Held{s->second, "", call.attempt.value, since};
         pending_releases_.push_back(r.id);
     } else {
         release_call({r.in.name, call.attempt.value, "", ReleaseReason::read_may_have_ended, now_},
@@ -54,23 +54,26 @@
 
 // A read called off may have been done all the same, its answer on the way, and so may one whose answer can't
 // be read.
-bool Edge::may_have_left_a_state(const Outgoing& call, const AttemptEnd& end) {
+bool Edge::may_have_left_a_state(const UpstreamCall& call, const AttemptResult& end) {
     if (!call.read || !call.sent) return false;
     switch (end.judged.outcome) {
-        case Outcome::read: return false;
-        case Outcome::cancelled:
-        case Outcome::timeout:
-        case Outcome::reset: return true;
+        case AttemptOutcome::prefilled: return false;
+        case AttemptOutcome::cancelled:
+        case AttemptOutcome::timeout:
+        case AttemptOutcome::reset: return true;
         default: return end.ending == Ending::bad_answer;
     }
 }
 
-void Edge::end_release(const Outgoing& call, Ending ending) {
+void Edge::end_release(const UpstreamCall& call, Ending ending) {
     std::erase_if(call_due_, [&](const auto& d) { return d.second == call.id; });
-    const bool has_none = ending == Ending::answered && convention_->no_release(call.status);
+    const bool has_none = ending == Ending::answered && protocol_->no_release(call.status);
     if (has_none) no_release_.insert(call.server);
     const bool done = ending == Ending::answered && call.status < 300;
-    emit(Note{observe::ServerRecord{call.server, "release", done ? "ok" : has_none ? "none" : "failed"}});
+    emit(EmitRecord{observe::ServerRecord{call.server, "release",
+                                          done       ? "ok"
+                                          : has_none ? "none"
+                                                     : "failed"}});
     note_held(done ? "release_done" : "release_failed", call.release->name, call.server, call.release->reason,
               call.release->held_since);
     call.release->progress->done = call.release->progress->done || done;
@@ -78,11 +81,11 @@
     // answer. Not once a read has ended well behind it: that state would go, too, and has time of its own.
     const bool goes_on = release_covers_request() && !call.release->progress->done && call.release->leads;
     if (!goes_on) return resume_deferred(call.request);
-    Open* r = find(call.request);
+    ActiveRequest* r = find(call.request);
     if (r == nullptr || !r->held) return ask_more_servers(*call.release, call.request, call.server);
     if (const auto s = servers_.find({call.server}); s != servers_.end() && !r->pending_release)
-        r->pending_release = Open::Held{s->second, call.release->state, call.release->attempt, r->held->since,
-                                        call.release->reason};
+        r->pending_release = ActiveRequest::Held{s->second, call.release->state, call.release->attempt,
+                                                 r->held->since, call.release->reason};
     pending_releases_.push_back(r->id);
 }
 
@@ -95,7 +98,7 @@
     const int wanted = progress.rounds <= kWideningRounds ? 1 << progress.rounds : 1;
     CallId leading{};
     for (int i = 0; i < wanted; ++i) {
-        const ListedServer* next = server_for_release(progress.asked);
+        const membership::EndpointConfig* next = server_for_release(progress.asked);
         if (next == nullptr && leading == CallId{}) {  // all have been asked: once more
             progress.asked = {failed_at};
             next = server_for_release(progress.asked);
@@ -108,14 +111,15 @@
         if (release.leads) leading = call;
     }
     if (leading == CallId{}) return resume_deferred(request);
-    if (Open* r = find(request)) r->release = leading;
+    if (ActiveRequest* r = find(request)) r->release = leading;
 }
 
 // Who spoke last of those in service that were not asked: that it lives is all that is wanted.
-const ListedServer* Edge::server_for_release(const std::set<std::string>& asked) const {
+const membership::EndpointConfig* Edge::server_for_release(const std::set<std::string>& asked) const {
     const auto fits = [&](const std::string& server) {
         const auto it = servers_.find({server});
-        return it != servers_.end() && it->second.entry.state == ServerState::up && !asked.contains(server);
+        return it != servers_.end() && it->second.endpoint.state == EndpointState::up &&
+               !asked.contains(server);
     };
     if (const std::string* const server = heard_.latest(fits)) return &servers_.at({*server});
     // None that has spoken is left.
@@ -124,26 +128,25 @@
     return nullptr;
 }
 
-void Edge::end_lease(const Outgoing& call, Ending ending) {
+void Edge::end_lease(const UpstreamCall& call, Ending ending) {
     std::erase_if(call_due_, [&](const auto& d) { return d.second == call.id; });
-    using Lease = Convention::Lease;
-    const Lease lease =
-        ending == Ending::answered ? convention_->lease_answer(call.status) : Lease::not_known;
-    Open* r = find(call.request);
+    using Lease = Protocol::Lease;
+    const Lease lease = ending == Ending::answered ? protocol_->lease_answer(call.status) : Lease::not_known;
+    ActiveRequest* r = find(call.request);
     if (r == nullptr) return;
     if (lease != Lease::not_known)
-        events_.emplace_back(LeaseAnswer{r->id, {call.server}, lease == Lease::held});
+        events_.emplace_back(ReservationResult{r->id, {call.server}, lease == Lease::held});
     // A place that may be held is let go of like a state, unless an attempt takes it.
     if (lease != Lease::not_held && call.sent && !r->started) {
         if (const auto s = servers_.find({call.server}); s != servers_.end() && !r->pending_release)
-            r->pending_release =
-                Open::Held{s->second, "", call.attempt.value, now_, ReleaseReason::place_may_be_held};
+            r->pending_release = ActiveRequest::Held{s->second, "", call.attempt.value, now_,
+                                                     ReleaseReason::place_may_be_held};
         pending_releases_.push_back(r->id);
     }
 }
 
-void Edge::act(const Release& action) {
-    Open* r = find(action.id);
+void Edge::apply(const ReleaseKvState& action) {
+    ActiveRequest* r = find(action.id);
     if (r == nullptr) return;
     const bool beside = r->call && (r->held || r->pending_release) && release_covers_request();
     if (!beside) return release_state(*r, ReleaseReason::decided);
@@ -151,19 +154,19 @@
     arm(*r, attempt_due(*r, calls_.at(*r->call)));
 }
 
-void Edge::act(const RequestLease& action) {
-    Open* r = find(action.id);
+void Edge::apply(const Reserve& action) {
+    ActiveRequest* r = find(action.id);
     const auto s = servers_.find(action.server);
-    if (r == nullptr || r->answered || s == servers_.end() || s->second.entry.state != ServerState::up)
+    if (r == nullptr || r->answered || s == servers_.end() || s->second.endpoint.state != EndpointState::up)
         return;
-    auto request = convention_->lease(r->in.name);
-    if (!request || !settings_.module.early_pairing) return;
+    auto request = protocol_->lease(r->in.name);
+    if (!request || !settings_.module.early_reservation_enabled) return;
     const Time due = std::max(r->deadline, now_ + settings_.limits.release_timeout);
     call_out(CallKind::lease, s->second, std::move(*request), due).request = r->id;
 }
 
 bool Edge::release_covers_request() const {
-    return convention_->release_covers() == Convention::ReleaseScope::request;
+    return protocol_->release_covers() == Protocol::ReleaseScope::request;
 }
 
 Duration Edge::release_timeout() const {
@@ -171,7 +174,7 @@
     return limits.release_retry > Duration::zero() ? limits.release_retry : limits.release_timeout;
 }
 
-std::optional<Time> Edge::release_due(const Open& r) const {
+std::optional<Time> Edge::release_due(const ActiveRequest& r) const {
     if (!r.held && !r.pending_release) return std::nullopt;
     Time since = r.held ? r.held->since : r.pending_release->since;
     if (r.pending_release) since = std::min(since, r.pending_release->since);
@@ -180,15 +183,15 @@
 
 // Guards against a state that waits for an attempt which never comes to a server: until one has answered the
 // state's time runs on, whether the connection does not come up or is silent.
-Time Edge::attempt_due(const Open& r, const Outgoing& attempt) const {
+Time Edge::attempt_due(const ActiveRequest& r, const UpstreamCall& attempt) const {
     const Time end = ends_at(r, attempt);
     const auto release = release_due(r);
     return attempt.status != 0 || !release ? end : std::min(end, *release);
 }
 
 // The time of what is held is over, or may be, while an attempt is out.
-void Edge::look_at_unanswered(Open& r) {
-    const Outgoing& attempt = calls_.at(*r.call);
+void Edge::look_at_unanswered(ActiveRequest& r) {
+    const UpstreamCall& attempt = calls_.at(*r.call);
     const auto release = release_due(r);
     if (attempt.status != 0 || !release || now_ < *release) return arm(r, attempt_due(r, attempt));
     arm(r, ends_at(r, attempt));
@@ -205,15 +208,15 @@
 // Servers keep what an attempt waits for: where this one has come, the release takes nothing from it, and
 // where it has not, nothing is left behind. Which of the two holds shows only with its answer; until then the
 // release is made again and again, as the server may die with the attempt.
-void Edge::release_beside_attempt(Open& r, ReleaseReason reason) {
+void Edge::release_beside_attempt(ActiveRequest& r, ReleaseReason reason) {
     if (r.held) {
-        events_.emplace_back(StateReleased{r.id});
+        events_.emplace_back(KvStateReleased{r.id});
         r.pending_release = std::exchange(r.held, std::nullopt);
         r.pending_release->reason = reason;
         held_ -= 1;
         pending_releases_.push_back(r.id);
     }
-    const Open::Held& held = *r.pending_release;
+    const ActiveRequest::Held& held = *r.pending_release;
     const auto call =
         release_call({r.in.name, held.attempt, held.state, held.reason, held.since}, held.server);
     r.pending_release->since = now_;
@@ -224,10 +227,10 @@
 
 void Edge::note_held(std::string_view what, const std::string& request, const std::string& server,
                      ReleaseReason reason, Time since) {
-    emit(Note{observe::HeldRecord{request, what, server, reason, now_ - since}});
+    emit(EmitRecord{observe::HeldRecord{request, what, server, reason, now_ - since}});
 }
 
-void Edge::release_state(Open& r, ReleaseReason reason) {
+void Edge::release_state(ActiveRequest& r, ReleaseReason reason) {
     if (r.call || (!r.held && !r.pending_release))
         return;  // with an attempt out the state is that attempt's to take
     if (!r.held) reason = r.pending_release->reason;
@@ -245,7 +248,7 @@
     if (pending_releases_.empty()) return;
     std::vector<RequestId> wait;
     for (const auto id : std::exchange(pending_releases_, {})) {
-        Open* r = find(id);
+        ActiveRequest* r = find(id);
         if (r == nullptr || !r->pending_release) continue;
         if (r->call) wait.push_back(id);
         else if (!r->held)
@@ -255,7 +258,7 @@
     pending_releases_ = std::move(wait);
 }
 
-bool Edge::release_under_way(const Open& r) const {
+bool Edge::release_under_way(const ActiveRequest& r) const {
     if (!r.release || !release_covers_request()) return false;
     const auto call = calls_.find(*r.release);
     return call != calls_.end() && !call->second.written;
@@ -263,36 +266,37 @@
 
 // The release is out, or given up: the attempt that waited for it goes, if it still may.
 void Edge::resume_deferred(RequestId id) {
-    Open* r = find(id);
+    ActiveRequest* r = find(id);
     if (r == nullptr || !r->deferred || release_under_way(*r)) return;
     const Send action = *std::exchange(r->deferred, std::nullopt);
-    act(action);
+    apply(action);
 }
 
 // It never began, and that tells nothing of its server.
-void Edge::drop_deferred(Open& r, bool finished) {
+void Edge::drop_deferred(ActiveRequest& r, bool finished) {
     const Send action = *std::exchange(r.deferred, std::nullopt);
     const AttemptId attempt{r.attempts++};
-    events_.emplace_back(AttemptEnded{r.id, attempt, action.server, Outcome::moot, {}, finished, 0, {}});
+    events_.emplace_back(
+        AttemptEnded{r.id, attempt, action.server, AttemptOutcome::not_sent, {}, finished, false, 0, {}});
 }
 
-CallId Edge::release_call(ReleaseAttempt release, const ListedServer& holder) {
+CallId Edge::release_call(ReleaseAttempt release, const membership::EndpointConfig& holder) {
     if (release.progress == nullptr) release.progress = std::make_shared<ReleaseProgress>();
     // Where any server takes it, the one that spoke last is the likeliest to run and to be reached.
-    const ListedServer* const likeliest =
+    const membership::EndpointConfig* const likeliest =
         release_covers_request() ? server_for_release(release.progress->asked) : nullptr;
-    const ListedServer& to = likeliest != nullptr ? *likeliest : holder;
-    const auto& server = to.entry.id.value;
-    auto request = convention_->release(release.name, release.attempt, release.state, to.entry.kind);
+    const membership::EndpointConfig& to = likeliest != nullptr ? *likeliest : holder;
+    const auto& server = to.endpoint.id.value;
+    auto request = protocol_->release(release.name, release.attempt, release.state, to.endpoint.kind);
     if (!request || no_release_.contains(server)) {
         // Counted and noted: the state stays until the engine drops it by its own time.
-        emit(Note{observe::ServerRecord{server, "release", "none"}});
+        emit(EmitRecord{observe::ServerRecord{server, "release", "none"}});
         return {};
     }
     release.progress->asked.insert(server);
     note_held("release", release.name, server, release.reason, release.held_since);
     const Time due = now_ + release_timeout();
-    Outgoing& out = call_out(CallKind::release, to, std::move(*request), due, kReleaseWorth);
+    UpstreamCall& out = call_out(CallKind::release, to, std::move(*request), due, kReleaseWorth);
     out.release = std::move(release);
     return out.id;
 }
--- a/src/core/edge_servers.cpp
+++ b/src/core/edge_servers.cpp
@@ -10,47 +10,47 @@
 
 using engine::Ending;
 
-void Edge::on(const ServerList& in) {
-    ListChanged event;
-    event.scope = in.scope;
-    if (in.scope == ListScope::complete || in.scope == ListScope::recalled) {
+void Edge::on(const membership::EndpointList& in) {
+    EndpointUpdate event;
+    event.kind = in.kind;
+    if (in.kind == EndpointUpdateKind::snapshot || in.kind == EndpointUpdateKind::cached_snapshot) {
         std::set<ServerId> named;
-        for (const auto& s : in.servers) named.insert(s.entry.id);
+        for (const auto& s : in.endpoints) named.insert(s.endpoint.id);
         for (auto& [id, s] : servers_)
-            if (!named.contains(id)) s.entry.state = ServerState::removed;
+            if (!named.contains(id)) s.endpoint.state = EndpointState::removed;
     }
     std::set<std::string> restarted;
-    for (const auto& s : in.servers) {
-        const auto old = servers_.find(s.entry.id);
-        const bool again = old != servers_.end() && old->second.entry.born != s.entry.born;
-        if (again) restarted.insert(s.entry.id.value);
-        if (again || old == servers_.end() || old->second.entry.state != s.entry.state) {
-            const char* const what = s.entry.state == ServerState::draining  ? "draining"
-                                     : s.entry.state == ServerState::removed ? "removed"
-                                     : again                                 ? "restarted"
-                                                                             : "up";
-            emit(Note{observe::ServerRecord{s.entry.id.value, what, format_address(s.address)}});
+    for (const auto& s : in.endpoints) {
+        const auto old = servers_.find(s.endpoint.id);
+        const bool again = old != servers_.end() && old->second.endpoint.started_at != s.endpoint.started_at;
+        if (again) restarted.insert(s.endpoint.id.value);
+        if (again || old == servers_.end() || old->second.endpoint.state != s.endpoint.state) {
+            const char* const what = s.endpoint.state == EndpointState::draining  ? "draining"
+                                     : s.endpoint.state == EndpointState::removed ? "removed"
+                                     : again                                      ? "restarted"
+                                                                                  : "up";
+            emit(EmitRecord{observe::ServerRecord{s.endpoint.id.value, what, format_address(s.address)}});
         }
         const bool moved = again || old == servers_.end() || old->second.address != s.address ||
-                           old->second.entry.kind != s.entry.kind;
-        if (moved) verification_.changed(s.entry.id.value, now_);
-        servers_[s.entry.id] = s;
-        event.entries.push_back(s.entry);
-        if (verification_.out(s.entry.id.value) && s.entry.state == ServerState::up)
-            event.entries.back().state = ServerState::draining;
+                           old->second.endpoint.kind != s.endpoint.kind;
+        if (moved) verification_.changed(s.endpoint.id.value, now_);
+        servers_[s.endpoint.id] = s;
+        event.endpoints.push_back(s.endpoint);
+        if (verification_.out(s.endpoint.id.value) && s.endpoint.state == EndpointState::up)
+            event.endpoints.back().state = EndpointState::draining;
     }
     events_.emplace_back(std::move(event));
     if (prefixes_ != nullptr) follow_caches();
     // What still waits for a connection to a server that drains, is gone, or has started anew does not go
     // out.
     for (const auto& [id, s] : servers_)
-        if (s.entry.state != ServerState::up) restarted.insert(id.value);
-    keep_back(restarted);
+        if (s.endpoint.state != EndpointState::up) restarted.insert(id.value);
+    withhold(restarted);
     // Removed servers are forgotten when nothing of theirs is out; states at them keep their own address.
     std::set<std::string> used;
     for (const auto& [id, call] : calls_) used.insert(call.server);
     std::erase_if(servers_, [&](const auto& p) {
-        const bool over = p.second.entry.state == ServerState::removed && !used.contains(p.first.value);
+        const bool over = p.second.endpoint.state == EndpointState::removed && !used.contains(p.first.value);
         if (!over) return false;
         verification_.forget(p.first.value);
         no_release_.erase(p.first.value);
@@ -60,7 +60,7 @@
     });
 }
 
-void Edge::keep_back(const std::set<std::string>& servers) {
+void Edge::withhold(const std::set<std::string>& servers) {
     std::vector<CallId> stay;
     for (const auto& [id, call] : calls_)
         if (call.kind == CallKind::attempt && !call.sent && servers.contains(call.server)) stay.push_back(id);
@@ -108,10 +108,10 @@
 void Edge::follow_caches() {
     std::map<std::string, std::pair<Address, std::optional<Address>>> wanted;
     for (const auto& [id, s] : servers_) {
-        const auto* kind = settings_.kind(s.entry.kind);
-        if (kind == nullptr || !kind->cache_events || !s.events || s.entry.state == ServerState::removed)
+        const auto* kind = settings_.kind(s.endpoint.kind);
+        if (kind == nullptr || !kind->cache_events || !s.events || s.endpoint.state == EndpointState::removed)
             continue;
-        prefixes_->listed(id.value, s.entry.kind, s.entry.born);
+        prefixes_->listed(id.value, s.endpoint.kind, s.endpoint.started_at);
         wanted[id.value] = {*s.events, s.replay};
     }
     for (const auto& [server, at] : followed_) {
@@ -130,7 +130,7 @@
         const auto from = prefixes_->restore(server, kept->second);
         snapshots_.erase(kept);
         if (!from) {
-            emit(Note{observe::ServerRecord{server, "cache_snapshot", from.error()}});
+            emit(EmitRecord{observe::ServerRecord{server, "cache_snapshot", from.error()}});
             emit(CacheDrop{server});
             continue;
         }
@@ -143,49 +143,49 @@
 
 void Edge::tell_prefixes() {
     for (auto& change : prefixes_->changes()) {
-        emit(Note{
-            observe::ServerRecord{change.server.value, "cache_events", change.told ? "told" : "guessed"}});
+        emit(EmitRecord{observe::ServerRecord{change.server.value, "cache_events",
+                                              change.reporting ? "told" : "guessed"}});
         events_.emplace_back(std::move(change));
     }
 }
 
-std::vector<KnownPrefix> Edge::claims(const Open& r) const {
+std::vector<CachedPrefix> Edge::claims(const ActiveRequest& r) const {
     const auto text = r.in.exchange->prompt_text();
     if (text.empty()) return {};
-    std::vector<KnownPrefix> out;
+    std::vector<CachedPrefix> out;
     for (const auto& k : settings_.kinds)
         if (k.cache_events)
             for (auto& claim : prefixes_->claims(k.name, text)) out.push_back(std::move(claim));
     return out;
 }
 
-void Edge::not_verified(const std::string& server, const std::string& detail) {
+void Edge::mark_unverified(const std::string& server, const std::string& detail) {
     if (!verification_.failed(server, now_)) return;
-    emit(Note{observe::ServerRecord{server, "not_verified", detail}});
+    emit(EmitRecord{observe::ServerRecord{server, "not_verified", detail}});
     const auto s = servers_.find({server});
     if (s == servers_.end()) return;
-    if (s->second.entry.state == ServerState::up) {
-        ServerEntry entry = s->second.entry;
-        entry.state = ServerState::draining;
-        events_.emplace_back(ListChanged{ListScope::changes, {std::move(entry)}});
+    if (s->second.endpoint.state == EndpointState::up) {
+        Endpoint entry = s->second.endpoint;
+        entry.state = EndpointState::draining;
+        events_.emplace_back(EndpointUpdate{EndpointUpdateKind::delta, {std::move(entry)}});
     }
     // What still waits for a connection there would fail the same way, and take a handshake each.
-    keep_back({server});
+    withhold({server});
 }
 
 void Edge::verified(const std::string& server) {
     if (!verification_.proved(server)) return;
-    emit(Note{observe::ServerRecord{server, "verified", ""}});
+    emit(EmitRecord{observe::ServerRecord{server, "verified", ""}});
     const auto s = servers_.find({server});
     if (s == servers_.end()) return;
-    events_.emplace_back(ListChanged{ListScope::changes, {s->second.entry}});
+    events_.emplace_back(EndpointUpdate{EndpointUpdateKind::delta, {s->second.endpoint}});
 }
 
 void Edge::try_verification() {
     for (const auto& server : verification_.due(now_)) {
         const auto s = servers_.find({server});
         // Guards against trials of a server that is off the list: it is forgotten, not asked.
-        if (s == servers_.end() || s->second.entry.state == ServerState::removed) {
+        if (s == servers_.end() || s->second.endpoint.state == EndpointState::removed) {
             verification_.forget(server);
             continue;
         }
@@ -193,28 +193,28 @@
     }
 }
 
-void Edge::end_probe(const Outgoing& call, Ending ending) {
+void Edge::end_probe(const UpstreamCall& call, Ending ending) {
     engine::Facts facts;
     facts.ending = ending;
     facts.sent = call.sent;
     facts.whole = true;
     facts.status = call.status;
     auto outcome = engine::judge(facts).outcome;
-    if (outcome == Outcome::ok && call.status != 200)
-        outcome = Outcome::error;  // no /health: not known to be well
-    auto report = convention_->probe_report(call.head, call.body);
+    if (outcome == AttemptOutcome::ok && call.status != 200)
+        outcome = AttemptOutcome::error;  // no /health: not known to be well
+    auto report = protocol_->probe_report(call.head, call.body);
     std::erase_if(call_due_, [&](const auto& d) { return d.second == call.id; });
-    emit(Note{observe::ServerRecord{call.server, "probe", std::string(engine::name(outcome))}});
-    events_.emplace_back(ProbeEnded{{call.server}, outcome, now_ - call.begun, std::move(report)});
+    emit(EmitRecord{observe::ServerRecord{call.server, "probe", std::string(engine::name(outcome))}});
+    events_.emplace_back(HealthCheckEnded{{call.server}, outcome, now_ - call.begun, std::move(report)});
 }
 
-void Edge::act(const Probe& action) {
+void Edge::apply(const HealthCheck& action) {
     const auto s = servers_.find(action.server);
     if (s == servers_.end() || verification_.out(action.server.value)) {
-        events_.emplace_back(ProbeEnded{action.server, Outcome::moot, {}, {}});
+        events_.emplace_back(HealthCheckEnded{action.server, AttemptOutcome::not_sent, {}, {}});
         return;
     }
-    call_out(CallKind::probe, s->second, convention_->probe(), now_ + settings_.limits.release_timeout);
+    call_out(CallKind::probe, s->second, protocol_->probe(), now_ + settings_.limits.release_timeout);
 }
 
 }  // namespace chalksail::core
--- a/src/core/edge_state.hpp
+++ b/src/core/edge_state.hpp
@@ -11,10 +11,10 @@
 namespace chalksail::core {
 
 // One request, from its arrival until its answer is given and none of its attempts is out.
-struct Edge::Open {
+struct Edge::ActiveRequest {
     RequestId id;
     ClientId client;
-    Intake in;
+    ParsedRequest in;
     std::size_t body_bytes = 0;  // as long as it is kept
     Time arrived{};
     Time deadline{};                   // the module's: the client's less the slack that an answer needs
@@ -24,10 +24,11 @@
     std::int64_t attempts = 0;
     bool may_have_run = false;  // some writer attempt is not proved not to have run
     Time first_run_begun{};     // when the first such attempt was sent, and where
-    ServerEntry first_run_at;
+    Endpoint first_run_at;
     struct Held {
-        ListedServer server;  // kept here: once off the list, nothing else tells how it is spoken to
-        std::string state;    // as the read told it
+        membership::EndpointConfig
+            server;         // kept here: once off the list, nothing else tells how it is spoken to
+        std::string state;  // as the read told it
         std::int64_t attempt = 0;
         Time since{};  // from when on no attempt has been known to be with a server
         observe::ReleaseReason reason =
@@ -49,9 +50,9 @@
     Time last_chunk{};
     std::int64_t chunks = 0;
     Time due{};
-    std::vector<KnownPrefix> claims;  // by all servers, also by those not believed
+    std::vector<CachedPrefix> claims;  // by all servers, also by those not believed
     std::string last_outcome;
-    std::string trail;
+    std::string attempt_history;
 
     [[nodiscard]] double told_prompt_tokens() const {
         const double told = in.exchange->told_prompt_tokens();
@@ -60,7 +61,7 @@
 };
 
 // One exchange with a server.
-struct Edge::Outgoing {
+struct Edge::UpstreamCall {
     CallId id;
     CallKind kind = CallKind::attempt;
     RequestId request;
@@ -75,14 +76,14 @@
     bool paused = false;
     bool called_off = false;  // its sending has ended; its answer may be on the way
     int status = 0;
-    HeadFacts head;
+    ResponseHead head;
     std::string body;  // of a read, a probe or an error; bounded
-    std::unique_ptr<WriterAnswer> answer;
+    std::unique_ptr<DecodeResponseParser> answer;
     std::optional<ReleaseAttempt> release;
 };
 
 // How an attempt ended, and what that proves.
-struct Edge::AttemptEnd {
+struct Edge::AttemptResult {
     engine::Ending ending = engine::Ending::answered;
     engine::Judgement judged;
     std::optional<ReadResult> read_answer;  // of a read that ended well
--- a/src/core/last_heard.hpp
+++ b/src/core/last_activity.hpp
@@ -9,7 +9,7 @@
 
 namespace chalksail::core {
 
-class LastHeard {
+class LastActivity {
 public:
     void spoke(const std::string& server, Time now) {
         const auto [it, fresh] = times_.try_emplace(server, now);
--- a/src/core/platform_convention.cpp
+++ b/src/core/platform_protocol.cpp
@@ -1,4 +1,4 @@
-#include "core/platform_convention.hpp"
+#include "core/platform_protocol.hpp"
 
 #include <algorithm>
 #include <memory>
@@ -18,7 +18,7 @@
     return out;
 }
 
-class PlatformEvents : public WriterAnswer {
+class PlatformEvents : public DecodeResponseParser {
 public:
     explicit PlatformEvents(std::shared_ptr<platform::EventReader> reader) : reader_(std::move(reader)) {}
     Progress feed(std::string_view bytes) override {
@@ -41,9 +41,9 @@
 
 }  // namespace
 
-class PlatformConvention::Request : public Exchange {
+class PlatformProtocol::Request : public ProtocolSession {
 public:
-    Request(PlatformConvention& owner, std::string id, std::string idempotency_key, http::Request request)
+    Request(PlatformProtocol& owner, std::string id, std::string idempotency_key, http::Request request)
         : owner_(owner),
           id_(std::move(id)),
           idempotency_key_(std::move(idempotency_key)),
@@ -61,7 +61,7 @@
     [[nodiscard]] ServerRequest write(std::int64_t, const std::string&, Duration left) const override {
         return passed_on(left);
     }
-    [[nodiscard]] std::unique_ptr<WriterAnswer> writer_answer() override {
+    [[nodiscard]] std::unique_ptr<DecodeResponseParser> writer_answer() override {
         auto reader = std::make_shared<platform::EventReader>(owner_.settings_.limits.event_bytes);
         reader_ = reader;
         return std::make_unique<PlatformEvents>(std::move(reader));
@@ -77,7 +77,7 @@
     [[nodiscard]] double completion_tokens() const override {
         return reader_ ? reader_->completion_tokens() : 0;
     }
-    [[nodiscard]] double kept_tokens() const override { return reader_ ? reader_->cached_tokens() : 0; }
+    [[nodiscard]] double cached_tokens() const override { return reader_ ? reader_->cached_tokens() : 0; }
 
     [[nodiscard]] http::Headers stream_head() const override {
         http::Headers out;
@@ -96,7 +96,7 @@
     [[nodiscard]] Answer failure(int status, const std::string& message, bool) const override {
         return error_answer(status, message);
     }
-    [[nodiscard]] Answer verdict(int status, const HeadFacts&, std::string) const override {
+    [[nodiscard]] Answer verdict(int status, const ResponseHead&, std::string) const override {
         return error_answer(status, "the model server turned it down");
     }
 
@@ -112,7 +112,7 @@
         return out;
     }
 
-    PlatformConvention& owner_;
+    PlatformProtocol& owner_;
     std::string id_;
     std::string idempotency_key_;  // as its client gave it; empty: none
     std::string method_;
@@ -123,7 +123,7 @@
 
 // ================= clients =================
 
-std::optional<Answer> PlatformConvention::answer(const http::Request& request, bool draining) const {
+std::optional<Answer> PlatformProtocol::answer(const http::Request& request, bool draining) const {
     const auto path = request.path();
     if (path == platform::kReadyPath)
         return draining ? error_answer(503, "going away") : Answer{200, {}, "ready\n"};
@@ -132,8 +132,8 @@
     return std::nullopt;
 }
 
-Rejection PlatformConvention::turn_away(const http::Request& request, std::uint64_t, Away why) const {
-    const bool draining = why == Away::draining;
+Rejection PlatformProtocol::reject(const http::Request& request, std::uint64_t, RejectionReason why) const {
+    const bool draining = why == RejectionReason::draining;
     Rejection out{error_answer(503, draining ? "this gateway is going away" : "too many open requests"),
                   std::string(request.headers.get(platform::kIdHeader)),
                   {}};
@@ -144,7 +144,7 @@
     return out;
 }
 
-tl::expected<Intake, Rejection> PlatformConvention::take_in(http::Request& request, std::uint64_t) {
+tl::expected<ParsedRequest, Rejection> PlatformProtocol::take_in(http::Request& request, std::uint64_t) {
     const auto reject = [&](int status, std::string_view message) {
         return tl::unexpected(Rejection{error_answer(status, message), {}, {}});
     };
@@ -156,7 +156,7 @@
     if (cls == classes.end()) return reject(400, "X-Service-Class: no such class");
     // Two requests of one id could not be told apart at the servers.
     if (open_.contains(told->id)) return reject(409, "X-Correlation-Id: of a request that is open");
-    Intake out;
+    ParsedRequest out;
     out.name = told->id;
     out.cls = static_cast<std::size_t>(cls - classes.begin());
     out.tenant = std::move(told->tenant);
@@ -175,30 +175,30 @@
 
 // ================= servers =================
 
-HeadFacts PlatformConvention::read_head(int status, const http::Headers& headers) const {
-    HeadFacts out;
+ResponseHead PlatformProtocol::read_head(int status, const http::Headers& headers) const {
+    ResponseHead out;
     if (headers.get(platform::kNotRunHeader) == "1")
         out.not_run = status == 410 ? engine::NotRun::no_state : engine::NotRun::full;
     return out;
 }
 
-std::optional<ReadResult> PlatformConvention::read_result(int status, std::string_view body) const {
+std::optional<ReadResult> PlatformProtocol::read_result(int status, std::string_view body) const {
     if (status != 202) return std::nullopt;
     return ReadResult{{}, 0, platform::read_cached_tokens(body)};
 }
 
-engine::Judgement PlatformConvention::judge(const engine::Facts& f, const std::string&) const {
+engine::Judgement PlatformProtocol::judge(const engine::Facts& f, const std::string&) const {
     platform::Facts facts;
     switch (f.ending) {
         case engine::Ending::answered: facts.ended = platform::Ended::answered; break;
         case engine::Ending::no_resources:
         case engine::Ending::expired:
             // Our own trouble tells nothing of the server: it is as if the attempt had never been made.
-            if (!f.sent) return {Outcome::moot, 0, false};
+            if (!f.sent) return {AttemptOutcome::not_sent, 0, false};
             facts.ended = platform::Ended::broke;
             break;
         case engine::Ending::dial_failed:
-        case engine::Ending::not_verified:
+        case engine::Ending::unverified:
         case engine::Ending::withdrawn: facts.ended = platform::Ended::no_connection; break;
         case engine::Ending::closed: facts.ended = platform::Ended::broke; break;
         case engine::Ending::bad_answer: facts.ended = platform::Ended::spoilt; break;
@@ -212,24 +212,22 @@
     facts.status = f.status;
     facts.not_run = f.not_run != engine::NotRun::not_said;
     const auto verdict = platform::judge(facts);
-    return {verdict.outcome, verdict.remark, false};
+    return {verdict.outcome, verdict.kv_state_missing, false};
 }
 
-std::optional<ServerRequest> PlatformConvention::release(const std::string& name, std::int64_t,
-                                                         const std::string&, const std::string&) const {
+std::optional<ServerRequest> PlatformProtocol::release(const std::string& name, std::int64_t,
+                                                       const std::string&, const std::string&) const {
     return ServerRequest{"DELETE", platform::lease_target(name), {}, ""};
 }
-std::optional<ServerRequest> PlatformConvention::lease(const std::string& name) const {
+std::optional<ServerRequest> PlatformProtocol::lease(const std::string& name) const {
     return ServerRequest{"POST", platform::lease_target(name), {}, ""};
 }
-Convention::Lease PlatformConvention::lease_answer(int status) const {
+Protocol::Lease PlatformProtocol::lease_answer(int status) const {
     if (status == 200) return Lease::held;
     return status == 204 ? Lease::not_known : Lease::not_held;
 }
 
-ServerRequest PlatformConvention::probe() const {
-    return {"GET", std::string(platform::kHealthPath), {}, ""};
-}
-std::vector<double> PlatformConvention::probe_report(const HeadFacts&, std::string_view) const { return {}; }
+ServerRequest PlatformProtocol::probe() const { return {"GET", std::string(platform::kHealthPath), {}, ""}; }
+std::vector<double> PlatformProtocol::probe_report(const ResponseHead&, std::string_view) const { return {}; }
 
 }  // namespace chalksail::core
--- a/src/core/platform_convention.hpp
+++ b/src/core/platform_protocol.hpp
@@ -3,20 +3,20 @@
 
 #include <unordered_set>
 
-#include "core/convention.hpp"
+#include "core/protocol.hpp"
 
 namespace chalksail::core {
 
-class PlatformConvention : public Convention {
+class PlatformProtocol : public Protocol {
 public:
-    explicit PlatformConvention(const config::EdgeSettings& settings) : settings_(settings) {}
+    explicit PlatformProtocol(const config::EdgeSettings& settings) : settings_(settings) {}
 
     [[nodiscard]] std::optional<Answer> answer(const http::Request& request, bool draining) const override;
-    [[nodiscard]] Rejection turn_away(const http::Request& request, std::uint64_t number,
-                                      Away why) const override;
-    [[nodiscard]] tl::expected<Intake, Rejection> take_in(http::Request& request,
-                                                          std::uint64_t number) override;
-    [[nodiscard]] HeadFacts read_head(int status, const http::Headers& headers) const override;
+    [[nodiscard]] Rejection reject(const http::Request& request, std::uint64_t number,
+                                   RejectionReason why) const override;
+    [[nodiscard]] tl::expected<ParsedRequest, Rejection> take_in(http::Request& request,
+                                                                 std::uint64_t number) override;
+    [[nodiscard]] ResponseHead read_head(int status, const http::Headers& headers) const override;
     [[nodiscard]] std::optional<ReadResult> read_result(int status, std::string_view body) const override;
     [[nodiscard]] engine::Judgement judge(const engine::Facts& facts, const std::string& kind) const override;
     [[nodiscard]] ReleaseScope release_covers() const override { return ReleaseScope::request; }
@@ -28,7 +28,7 @@
     [[nodiscard]] std::optional<ServerRequest> lease(const std::string& name) const override;
     [[nodiscard]] Lease lease_answer(int status) const override;
     [[nodiscard]] ServerRequest probe() const override;
-    [[nodiscard]] std::vector<double> probe_report(const HeadFacts& head,
+    [[nodiscard]] std::vector<double> probe_report(const ResponseHead& head,
                                                    std::string_view body) const override;
 
 private:
--- a/src/core/platform_settings.cpp
+++ b/src/core/platform_settings.cpp
@@ -78,7 +78,7 @@
     // this process may hear of the signal late.
     const Duration killed = std::min<Duration>(longest, seconds(3)) + milliseconds(700);
     l.drain_answers = killed - milliseconds(500);
-    l.drain_grace = out.module.resume ? killed / 2 : milliseconds(700) - kHeldUp;
+    l.drain_grace = out.module.stream_resumption_enabled ? killed / 2 : milliseconds(700) - kHeldUp;
     // A request's own time grows with its prompt, beyond its class's deadline, and whoever kills comes when
     // it likes: there is no time after which what was taken may be cut from here.
     l.drain = config::kNoLimit;
--- a/src/core/convention.hpp
+++ b/src/core/protocol.hpp
@@ -1,10 +1,10 @@
 // The seam between a request's life (edge.hpp) and how clients and servers are spoken with. A convention
 // reads and writes; it decides nothing, sends nothing and keeps no time. Two are known: vLLM's disaggregated
-// prefill with an OpenAI-style front (vllm_convention.hpp), and the users' platform
-// (platform_convention.hpp). The settings say which.
+// prefill with an OpenAI-style front (vllm_protocol.hpp), and the users' platform
+// (platform_protocol.hpp). The settings say which.
 //
-// One Convention for each Edge, one Exchange for each request, one WriterAnswer for each attempt at a writer.
-// No I/O; bad bytes become answers and outcomes, never an exception.
+// One Protocol for each Edge, one ProtocolSession for each request, one DecodeResponseParser for each attempt
+// at a writer. No I/O; bad bytes become answers and outcomes, never an exception.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -41,14 +41,14 @@
 };
 
 // What the head of a server's answer tells beside its status.
-struct HeadFacts {
+struct ResponseHead {
     engine::NotRun not_run = engine::NotRun::not_said;
     std::vector<double> report;
     std::string content_type;
 };
 
 // Reads one writer's answer.
-class WriterAnswer {
+class DecodeResponseParser {
 public:
     enum class State { more, whole, spoilt };
     struct Progress {
@@ -57,7 +57,7 @@
         std::int64_t events = 0;  // that became whole, also such as the client does not get
         std::string detail;       // of what is spoilt
     };
-    virtual ~WriterAnswer() = default;
+    virtual ~DecodeResponseParser() = default;
     // `whole`: all is here before the answer's own end; what follows is of no interest.
     [[nodiscard]] virtual Progress feed(std::string_view bytes) = 0;
     // Does what has come make sense to its end?
@@ -65,9 +65,9 @@
 };
 
 // One request's messages, towards servers and back to its client.
-class Exchange {
+class ProtocolSession {
 public:
-    virtual ~Exchange() = default;
+    virtual ~ProtocolSession() = default;
 
     // `left`: until the client's time ends.
     [[nodiscard]] virtual ServerRequest read(std::int64_t attempt, Duration left) const = 0;
@@ -76,7 +76,7 @@
                                               Duration left) const = 0;
     // Brings the headers of a read or write that waited for its connection up to date.
     virtual void update_time_left(http::Headers&, Duration) const {}
-    [[nodiscard]] virtual std::unique_ptr<WriterAnswer> writer_answer() = 0;
+    [[nodiscard]] virtual std::unique_ptr<DecodeResponseParser> writer_answer() = 0;
     // Nothing more is sent for it: what only sending needs can go.
     virtual void drop_request() = 0;
 
@@ -87,7 +87,7 @@
     // As its answer told; 0: not.
     [[nodiscard]] virtual double told_prompt_tokens() const { return 0; }
     [[nodiscard]] virtual double completion_tokens() const { return 0; }
-    [[nodiscard]] virtual double kept_tokens() const { return 0; }
+    [[nodiscard]] virtual double cached_tokens() const { return 0; }
 
     // Does its client get a stream? Else one answer at the end: collected().
     [[nodiscard]] virtual bool streams() const { return true; }
@@ -101,11 +101,11 @@
     // `once_more`: its client may ask again without harm.
     [[nodiscard]] virtual Answer failure(int status, const std::string& message, bool once_more) const = 0;
     // A server's verdict on the request itself.
-    [[nodiscard]] virtual Answer verdict(int status, const HeadFacts& head, std::string body) const = 0;
+    [[nodiscard]] virtual Answer verdict(int status, const ResponseHead& head, std::string body) const = 0;
 };
 
 // What a client's request is to the module.
-struct Intake {
+struct ParsedRequest {
     std::string name;         // towards servers, and in logs
     std::string client_name;  // the client's own, where that is another
     std::size_t cls = 0;      // index into the settings' classes
@@ -119,7 +119,7 @@
     double max_output = 0;
     bool retry = false;  // the client says that it has tried before
     bool again = false;  // ... and wants the rest of a stream that broke
-    std::unique_ptr<Exchange> exchange;
+    std::unique_ptr<ProtocolSession> exchange;
 };
 struct Rejection {
     Answer answer;
@@ -127,20 +127,20 @@
     std::string client_name;
 };
 
-class Convention {
+class Protocol {
 public:
-    virtual ~Convention() = default;
+    virtual ~Protocol() = default;
 
     // Answers what is no request for the servers; nothing: it is one.
     [[nodiscard]] virtual std::optional<Answer> answer(const http::Request& request, bool draining) const = 0;
-    enum class Away { draining, limit };
+    enum class RejectionReason { draining, limit };
     // Nothing has been done for it: harmless to try again.
-    [[nodiscard]] virtual Rejection turn_away(const http::Request& request, std::uint64_t number,
-                                              Away why) const = 0;
-    [[nodiscard]] virtual tl::expected<Intake, Rejection> take_in(http::Request& request,
-                                                                  std::uint64_t number) = 0;
+    [[nodiscard]] virtual Rejection reject(const http::Request& request, std::uint64_t number,
+                                           RejectionReason why) const = 0;
+    [[nodiscard]] virtual tl::expected<ParsedRequest, Rejection> take_in(http::Request& request,
+                                                                         std::uint64_t number) = 0;
 
-    [[nodiscard]] virtual HeadFacts read_head(int status, const http::Headers& headers) const = 0;
+    [[nodiscard]] virtual ResponseHead read_head(int status, const http::Headers& headers) const = 0;
     // Nothing if it is no read's answer.
     [[nodiscard]] virtual std::optional<ReadResult> read_result(int status, std::string_view body) const = 0;
     // Does a server take the end of this side's sending for the end of the attempt, and close behind it? Then
@@ -164,10 +164,10 @@
     enum class Lease { held, not_held, not_known };
     [[nodiscard]] virtual Lease lease_answer(int status) const = 0;
     [[nodiscard]] virtual ServerRequest probe() const = 0;
-    [[nodiscard]] virtual std::vector<double> probe_report(const HeadFacts& head,
+    [[nodiscard]] virtual std::vector<double> probe_report(const ResponseHead& head,
                                                            std::string_view body) const = 0;
 };
 
-[[nodiscard]] std::unique_ptr<Convention> make_convention(const config::EdgeSettings& settings);
+[[nodiscard]] std::unique_ptr<Protocol> make_convention(const config::EdgeSettings& settings);
 
 }  // namespace chalksail::core
--- a/src/core/decider.hpp
+++ b/src/core/routing_policy.hpp
@@ -1,5 +1,5 @@
 // What decides for an edge: the module, or a baseline that the laboratory compares it with. The contract is
-// that of chalksail::Brain; the edge's guards stand between either and the wire.
+// that of chalksail::Router; the edge's guards stand between either and the wire.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -9,9 +9,9 @@
 
 namespace chalksail::core {
 
-class Decider {
+class RoutingPolicy {
 public:
-    virtual ~Decider() = default;
+    virtual ~RoutingPolicy() = default;
     [[nodiscard]] virtual std::vector<Action> step(Time now, std::span<const Event> events) = 0;
     [[nodiscard]] virtual std::size_t tracked_requests() const = 0;
 };
--- a/src/core/vllm_convention.cpp
+++ b/src/core/vllm_protocol.cpp
@@ -1,4 +1,4 @@
-#include "core/vllm_convention.hpp"
+#include "core/vllm_protocol.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-class VllmConvention::Request : public Exchange {
+class VllmProtocol::Request : public ProtocolSession {
 public:
     const config::EdgeSettings* settings = nullptr;
     TokenEstimate* tokens = nullptr;
@@ -64,7 +64,7 @@
         return {"POST", std::string(engine::kChatPath), headers(attempt),
                 engine::write_body(body, chat, state)};
     }
-    [[nodiscard]] std::unique_ptr<WriterAnswer> writer_answer() override;
+    [[nodiscard]] std::unique_ptr<DecodeResponseParser> writer_answer() override;
     void drop_request() override {
         std::string().swap(body);
         std::vector<chat::Member>().swap(chat.members);
@@ -121,7 +121,7 @@
         if (!once_more) headers.add("X-Should-Retry", "false");
         return error_answer({status, message, "server_error", "", "failed"}, std::move(headers));
     }
-    [[nodiscard]] Answer verdict(int status, const HeadFacts& head, std::string answer) const override {
+    [[nodiscard]] Answer verdict(int status, const ResponseHead& head, std::string answer) const override {
         http::Headers headers;
         headers.add("Content-Type", head.content_type.empty() ? "application/json" : head.content_type);
         headers.add(std::string(engine::kRequestIdHeader), name);
@@ -144,7 +144,7 @@
 namespace {
 
 template <class Request>
-class Events : public WriterAnswer {
+class Events : public DecodeResponseParser {
 public:
     Events(Request& request, std::size_t event_bytes) : request_(request), reader_(event_bytes) {}
 
@@ -192,20 +192,20 @@
 
 }  // namespace
 
-std::unique_ptr<WriterAnswer> VllmConvention::Request::writer_answer() {
+std::unique_ptr<DecodeResponseParser> VllmProtocol::Request::writer_answer() {
     return std::make_unique<Events<Request>>(*this, settings->limits.event_bytes);
 }
 
-VllmConvention::VllmConvention(const config::EdgeSettings& settings)
+VllmProtocol::VllmProtocol(const config::EdgeSettings& settings)
     : settings_(settings), tokens_(settings.module.classes.size(), settings.tokens_per_byte) {}
 
-std::string VllmConvention::name_of(std::uint64_t number) const {
+std::string VllmProtocol::name_of(std::uint64_t number) const {
     return settings_.name + "-" + std::to_string(settings_.seed) + "-" + std::to_string(number);
 }
 
 // ================= clients =================
 
-std::optional<Answer> VllmConvention::answer(const http::Request& request, bool) const {
+std::optional<Answer> VllmProtocol::answer(const http::Request& request, bool) const {
     const auto path = request.path();
     if (path == engine::kChatPath) {
         if (request.method == "POST") return std::nullopt;
@@ -230,12 +230,13 @@
     return error_answer({404, "no such path", "invalid_request_error", "", "not_found"}, {});
 }
 
-Rejection VllmConvention::turn_away(const http::Request& request, std::uint64_t number, Away why) const {
+Rejection VllmProtocol::reject(const http::Request& request, std::uint64_t number,
+                               RejectionReason why) const {
     const auto name = name_of(number);
     auto headers = named(name);
     headers.add("Retry-After", "1");
     headers.add("X-Should-Retry", "true");
-    const bool draining = why == Away::draining;
+    const bool draining = why == RejectionReason::draining;
     if (draining) headers.add("Connection", "close");
     return {error_answer({503, draining ? "this gateway is going away" : "too many open requests",
                           "server_error", "", "refused"},
@@ -243,8 +244,8 @@
             name, std::string(request.headers.get(engine::kRequestIdHeader))};
 }
 
-tl::expected<Intake, Rejection> VllmConvention::take_in(http::Request& request, std::uint64_t number) {
-    Intake out;
+tl::expected<ParsedRequest, Rejection> VllmProtocol::take_in(http::Request& request, std::uint64_t number) {
+    ParsedRequest out;
     out.name = name_of(number);
     out.client_name = request.headers.get(engine::kRequestIdHeader);
     const auto reject = [&](const chat::ApiError& error) {
@@ -273,10 +274,10 @@
         return reject({404, "no class of request fits this model, path and headers", "invalid_request_error",
                        "model", "no_class"});
     out.cls = static_cast<std::size_t>(cls - settings_.classes.begin());
-    const ClassSettings& c = settings_.module.classes[out.cls];
+    const RequestClassSettings& c = settings_.module.classes[out.cls];
 
     std::string idempotency_key{request.headers.get(kIdempotencyHeader)};
-    if (c.effect == Effect::by_key && idempotency_key.empty())
+    if (c.idempotency == Idempotency::idempotent_by_key && idempotency_key.empty())
         return reject({400, "requests of class '" + c.name + "' need the header Idempotency-Key",
                        "invalid_request_error", "Idempotency-Key", "missing_key"});
 
@@ -293,7 +294,7 @@
 
     out.session = request.headers.get(settings_.session_header);
     if (out.session.empty()) out.session = chat->session;
-    // Sessions of two tenants never are the same one.
+    // SessionCache of two tenants never are the same one.
     out.session = out.session.empty() ? out.name : out.tenant + "/" + out.session;
     const auto retries = request.headers.get(kRetryHeader);
     out.retry = !retries.empty() && retries != "0";
@@ -319,8 +320,8 @@
 
 // ================= servers =================
 
-HeadFacts VllmConvention::read_head(int, const http::Headers& headers) const {
-    HeadFacts out;
+ResponseHead VllmProtocol::read_head(int, const http::Headers& headers) const {
+    ResponseHead out;
     out.not_run = engine::parse_not_run(headers.get(engine::kNotRunHeader));
     out.content_type = headers.get("content-type");
     if (settings_.load == config::LoadSource::headers)
@@ -328,14 +329,14 @@
     return out;
 }
 
-std::optional<ReadResult> VllmConvention::read_result(int status, std::string_view body) const {
+std::optional<ReadResult> VllmProtocol::read_result(int status, std::string_view body) const {
     if (status != 200) return std::nullopt;
     auto answer = engine::parse_read_answer(body);
     if (!answer) return std::nullopt;
     return ReadResult{std::move(answer->kv_params), answer->prompt_tokens, answer->cached_tokens};
 }
 
-engine::Judgement VllmConvention::judge(const engine::Facts& seen, const std::string& kind) const {
+engine::Judgement VllmProtocol::judge(const engine::Facts& seen, const std::string& kind) const {
     engine::Facts facts = seen;
     if (const auto* k = settings_.kind(kind))
         facts.not_run_status = std::find(k->not_run_statuses.begin(), k->not_run_statuses.end(),
@@ -343,9 +344,8 @@
     return engine::judge(facts);
 }
 
-std::optional<ServerRequest> VllmConvention::release(const std::string& name, std::int64_t attempt,
-                                                     const std::string& state,
-                                                     const std::string& kind) const {
+std::optional<ServerRequest> VllmProtocol::release(const std::string& name, std::int64_t attempt,
+                                                   const std::string& state, const std::string& kind) const {
     if (const auto* k = settings_.kind(kind); k != nullptr && !k->release) return std::nullopt;
     auto headers = json_headers();
     headers.add(std::string(engine::kRequestIdHeader), name);
@@ -353,12 +353,12 @@
     return ServerRequest{"POST", std::string(engine::kReleasePath), std::move(headers),
                          engine::release_body(name, state)};
 }
-bool VllmConvention::no_release(int status) const { return status == 404 || status == 405 || status == 501; }
+bool VllmProtocol::no_release(int status) const { return status == 404 || status == 405 || status == 501; }
 
-ServerRequest VllmConvention::probe() const {
+ServerRequest VllmProtocol::probe() const {
     return {"GET", settings_.load == config::LoadSource::metrics ? "/metrics" : "/health", {}, ""};
 }
-std::vector<double> VllmConvention::probe_report(const HeadFacts& head, std::string_view body) const {
+std::vector<double> VllmProtocol::probe_report(const ResponseHead& head, std::string_view body) const {
     return settings_.load == config::LoadSource::metrics ? engine::parse_metrics_page(body).report()
                                                          : head.report;
 }
--- a/src/core/vllm_convention.hpp
+++ b/src/core/vllm_protocol.hpp
@@ -2,7 +2,7 @@
 // together.
 #pragma once
 
-#include "core/convention.hpp"
+#include "core/protocol.hpp"
 #include "core/token_estimate.hpp"
 
 namespace chalksail::core {
@@ -11,16 +11,16 @@
 inline constexpr std::string_view kTimeoutHeader = "X-Request-Timeout-Ms";
 inline constexpr std::string_view kRetryHeader = "X-Stainless-Retry-Count";  // sent by the OpenAI clients
 
-class VllmConvention : public Convention {
+class VllmProtocol : public Protocol {
 public:
-    explicit VllmConvention(const config::EdgeSettings& settings);
+    explicit VllmProtocol(const config::EdgeSettings& settings);
 
     [[nodiscard]] std::optional<Answer> answer(const http::Request& request, bool draining) const override;
-    [[nodiscard]] Rejection turn_away(const http::Request& request, std::uint64_t number,
-                                      Away why) const override;
-    [[nodiscard]] tl::expected<Intake, Rejection> take_in(http::Request& request,
-                                                          std::uint64_t number) override;
-    [[nodiscard]] HeadFacts read_head(int status, const http::Headers& headers) const override;
+    [[nodiscard]] Rejection reject(const http::Request& request, std::uint64_t number,
+                                   RejectionReason why) const override;
+    [[nodiscard]] tl::expected<ParsedRequest, Rejection> take_in(http::Request& request,
+                                                                 std::uint64_t number) override;
+    [[nodiscard]] ResponseHead read_head(int status, const http::Headers& headers) const override;
     [[nodiscard]] std::optional<ReadResult> read_result(int status, std::string_view body) const override;
     [[nodiscard]] engine::Judgement judge(const engine::Facts& facts, const std::string& kind) const override;
     [[nodiscard]] ReleaseScope release_covers() const override { return ReleaseScope::attempt; }
@@ -34,7 +34,7 @@
     }
     [[nodiscard]] Lease lease_answer(int) const override { return Lease::not_held; }
     [[nodiscard]] ServerRequest probe() const override;
-    [[nodiscard]] std::vector<double> probe_report(const HeadFacts& head,
+    [[nodiscard]] std::vector<double> probe_report(const ResponseHead& head,
                                                    std::string_view body) const override;
 
 private:
--- a/src/engine/outcome.hpp
+++ b/src/engine/outcome.hpp
@@ -19,7 +19,7 @@
 enum class Ending {
     answered,      // an answer came to its proper end
     dial_failed,   // refused, unreachable, or not established in time
-    not_verified,  // reached, but it did not prove its name; no byte of a request went out
+    unverified,    // reached, but it did not prove its name; no byte of a request went out
     no_resources,  // this machine could make no connection (file descriptors, memory)
     withdrawn,     // taken back before any byte was handed to a connection
     expired,       // the same, because its time was over when its connection was ready
@@ -47,14 +47,14 @@
 };
 
 struct Judgement {
-    Outcome outcome = Outcome::error;
-    double remark = 0;  // of `full`: 1 if there was no state to fetch
+    AttemptOutcome outcome = AttemptOutcome::error;
+    bool kv_state_missing = false;  // at_capacity only: there was no KV state to fetch
     bool clients_fault =
         false;  // the engine's verdict on the request itself (4xx): its answer goes to the client
 };
 
 [[nodiscard]] Judgement judge(const Facts& facts);
-[[nodiscard]] bool proves_not_run(Outcome outcome);
-[[nodiscard]] std::string_view name(Outcome outcome);
+[[nodiscard]] bool proves_not_run(AttemptOutcome outcome);
+[[nodiscard]] std::string_view name(AttemptOutcome outcome);
 
 }  // namespace chalksail::engine
--- a/src/membership/source.hpp
+++ b/src/membership/source.hpp
@@ -3,7 +3,7 @@
 // two sources; others (a coordination service, watched files) come beside them. No I/O here.
 #pragma once
 
-#include "core/edge.hpp"
+#include "membership/endpoint_list.hpp"
 
 namespace chalksail::membership {
 
@@ -11,7 +11,7 @@
 public:
     virtual ~ListSink() = default;
     // In force when this returns.
-    virtual void take(core::ServerList list) = 0;
+    virtual void take(EndpointList list) = 0;
 };
 
 class ListSource {
--- a/src/net/admin.hpp
+++ b/src/net/admin.hpp
@@ -26,9 +26,9 @@
 };
 
 // Errors say what is wrong and where. `kinds`: those that the settings know.
-[[nodiscard]] tl::expected<core::ServerList, std::string> parse_server_list(
+[[nodiscard]] tl::expected<membership::EndpointList, std::string> parse_server_list(
     std::string_view body, const std::set<std::string>& kinds, ClockOffset offset);
-[[nodiscard]] std::string format_server_list(const std::vector<core::ListedServer>& servers,
+[[nodiscard]] std::string format_server_list(const std::vector<membership::EndpointConfig>& servers,
                                              ClockOffset offset);
 
 // The settings' own servers, told once as a complete list.
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -49,7 +49,7 @@
 void DiscoveryWatch::start(membership::ListSink& sink) {
     sink_ = &sink;
     if (known_) {
-        take(*known_, ListScope::recalled);
+        take(*known_, EndpointUpdateKind::cached_snapshot);
         known_.reset();
     }
     open();
@@ -93,13 +93,13 @@
     log_.warn("discovery", why + "; the last list stays in force");
 }
 
-void DiscoveryWatch::on_head(HttpPool::Call call, int status, http::Headers) {
+void DiscoveryWatch::on_head(UpstreamPool::Call call, int status, http::Headers) {
     if (call != call_ || !out_) return;
     if (status == 200) schedule_.heard(uv_now_time(), false, false);
     else give_up("answers " + std::to_string(status));
 }
 
-void DiscoveryWatch::on_body(HttpPool::Call call, std::string bytes) {
+void DiscoveryWatch::on_body(UpstreamPool::Call call, std::string bytes) {
     if (call != call_ || !out_) return;
     const auto objects = objects_.feed(bytes);
     schedule_.heard(uv_now_time(), objects_.midway(), !objects.empty());
@@ -120,13 +120,13 @@
     if (!next && update->instances.empty()) return;
     if (!next) return give_up("told changes that do not follow what it told before");
     version_ = update->generation;
-    take(*update, update->whole ? ListScope::complete : ListScope::changes);
+    take(*update, update->whole ? EndpointUpdateKind::snapshot : EndpointUpdateKind::delta);
 }
 
-void DiscoveryWatch::on_done(HttpPool::Call call) {
+void DiscoveryWatch::on_done(UpstreamPool::Call call) {
     if (call == call_ && out_) end("ended the watch");
 }
-void DiscoveryWatch::on_failed(HttpPool::Call call, engine::Ending, std::string detail) {
+void DiscoveryWatch::on_failed(UpstreamPool::Call call, engine::Ending, std::string detail) {
     if (call == call_ && out_) end(detail);
 }
 
@@ -135,23 +135,23 @@
     wall_clock_.observe(now, wall_now());
 }
 
-void DiscoveryWatch::take(const platform::ListUpdate& update, ListScope scope) {
+void DiscoveryWatch::take(const platform::ListUpdate& update, EndpointUpdateKind scope) {
     look_at_clocks(uv_now_time());
     if (update.whole) start_times_.forget_all_but(update.instances);
-    core::ServerList list;
-    list.scope = scope;
+    membership::EndpointList list;
+    list.kind = scope;
     for (const auto& i : update.instances) {
-        core::ListedServer s;
-        s.entry = {{i.id},
-                   i.zone,
-                   i.kind,
-                   i.cell,
-                   i.state,
-                   i.weight,
-                   start_times_.of(i.id, i.started_unix_ms, wall_clock_)};
+        membership::EndpointConfig s;
+        s.endpoint = {{i.id},
+                      i.zone,
+                      i.kind,
+                      i.cell,
+                      i.state,
+                      i.weight,
+                      start_times_.of(i.id, i.started_unix_ms, wall_clock_)};
         s.address = i.address;
-        list.servers.push_back(std::move(s));
-        if (i.state == ServerState::removed) start_times_.forget(i.id);
+        list.endpoints.push_back(std::move(s));
+        if (i.state == EndpointState::removed) start_times_.forget(i.id);
     }
     sink_->take(std::move(list));
 }
--- a/src/net/discovery_watch.hpp
+++ b/src/net/discovery_watch.hpp
@@ -15,7 +15,7 @@
 #include "membership/source.hpp"
 #include "membership/wall_clock.hpp"
 #include "membership/watch_schedule.hpp"
-#include "net/http_pool.hpp"
+#include "net/upstream_pool.hpp"
 #include "observe/log.hpp"
 #include "platform/list.hpp"
 
@@ -23,7 +23,7 @@
 
 using membership::WatchLimits;
 
-class DiscoveryWatch : public membership::ListSource, HttpPool::Handler {
+class DiscoveryWatch : public membership::ListSource, UpstreamPool::Handler {
 public:
     // `known`: a list from before, which may be old.
     DiscoveryWatch(uv_loop_t& loop, observe::Log& log, Address discovery,
@@ -37,30 +37,30 @@
     void move(Address discovery);
 
 private:
-    void on_head(HttpPool::Call call, int status, http::Headers headers) override;
-    void on_body(HttpPool::Call call, std::string bytes) override;
-    void on_done(HttpPool::Call call) override;
-    void on_failed(HttpPool::Call call, engine::Ending ending, std::string detail) override;
+    void on_head(UpstreamPool::Call call, int status, http::Headers headers) override;
+    void on_body(UpstreamPool::Call call, std::string bytes) override;
+    void on_done(UpstreamPool::Call call) override;
+    void on_failed(UpstreamPool::Call call, engine::Ending ending, std::string detail) override;
     void look();
     void open();
     void give_up(const std::string& why);
     void end(const std::string& why);
     void take_object(const std::string& text);
-    void take(const platform::ListUpdate& update, ListScope scope);
+    void take(const platform::ListUpdate& update, EndpointUpdateKind scope);
     void look_at_clocks(Time now);
 
     observe::Log& log_;
     Address discovery_;
     std::optional<platform::ListUpdate> known_;
     WatchLimits limits_;
-    HttpPool pool_;
+    UpstreamPool pool_;
     membership::ListSink* sink_ = nullptr;
     uv_timer_t* timer_ = nullptr;
     membership::WallClock wall_clock_;
     membership::StartTimes start_times_;
     Time clocks_due_{};  // for the next look at them
     membership::WatchSchedule schedule_;
-    HttpPool::Call call_ = 0;              // the last one started
+    UpstreamPool::Call call_ = 0;          // the last one started
     bool out_ = false;                     // it is under way
     std::optional<std::int64_t> version_;  // of the list, as this call last told it
     platform::ObjectReader objects_;
--- a/src/net/edge_shell.cpp
+++ b/src/net/edge_server.cpp
@@ -1,4 +1,4 @@
-#include "net/edge_shell.hpp"
+#include "net/edge_server.hpp"
 
 #include <algorithm>
 #include <cctype>
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "chat/request.hpp"
-#include "net/tls/files.hpp"
+#include "net/tls/certificate_reloader.hpp"
 
 namespace chalksail::net {
 namespace {
@@ -90,17 +90,17 @@
 
 }  // namespace
 
-struct EdgeShell::AdminHandler : HttpServer::Handler {
-    explicit AdminHandler(EdgeShell& owner) : shell(owner) {}
+struct EdgeServer::AdminHandler : HttpServer::Handler {
+    explicit AdminHandler(EdgeServer& owner) : shell(owner) {}
     void on_request(HttpServer::Peer peer, http::Request request) override {
         shell.admin_request(peer, request);
     }
     void on_closed(HttpServer::Peer, const ConnectionEnd&) override {}
-    EdgeShell& shell;
+    EdgeServer& shell;
 };
 
-EdgeShell::EdgeShell(uv_loop_t& loop, const config::EdgeSettings& settings, observe::Log& log,
-                     std::unique_ptr<membership::ListSource> list)
+EdgeServer::EdgeServer(uv_loop_t& loop, const config::EdgeSettings& settings, observe::Log& log,
+                       std::unique_ptr<membership::ListSource> list)
     : loop_(loop),
       settings_(settings),
       log_(log),
@@ -116,21 +116,21 @@
     }
     for (const auto& k : settings_.kinds) {
         if (!k.tls) continue;
-        auto& rotation = tls_.try_emplace(k.name, *k.tls).first->second;
-        if (rotation.look(std::time(nullptr)) != tls::Rotation::Look::replaced)
-            throw std::runtime_error("kind '" + k.name + "': " + rotation.error());
+        auto& certificate_reloader = tls_.try_emplace(k.name, *k.tls).first->second;
+        if (certificate_reloader.poll(std::time(nullptr)) != tls::CertificateReloader::PollResult::replaced)
+            throw std::runtime_error("kind '" + k.name + "': " + certificate_reloader.error());
     }
     if (settings_.listener_tls) {
         listener_tls_.emplace(*settings_.listener_tls);
-        if (listener_tls_->look(std::time(nullptr)) != tls::Rotation::Look::replaced)
+        if (listener_tls_->poll(std::time(nullptr)) != tls::CertificateReloader::PollResult::replaced)
             throw std::runtime_error("listener: " + listener_tls_->error());
     }
     clients_ = std::make_unique<HttpServer>(loop_, static_cast<HttpServer::Handler&>(*this),
                                             client_limits(settings_.limits));
     if (settings_.admin)
         admin_ = std::make_unique<HttpServer>(loop_, *admin_handler_, admin_limits(settings_.limits));
-    servers_ =
-        std::make_unique<HttpPool>(loop_, static_cast<HttpPool::Handler&>(*this), pool_limits(settings_));
+    servers_ = std::make_unique<UpstreamPool>(loop_, static_cast<UpstreamPool::Handler&>(*this),
+                                              pool_limits(settings_));
     if (listener_tls_) clients_->set_tls(listener_tls_->context());
     if (std::any_of(settings_.kinds.begin(), settings_.kinds.end(),
                     [](const auto& k) { return k.cache_events; })) {
@@ -161,7 +161,7 @@
     uv_check_init(&loop_, check_);
     check_->data = this;
     uv_check_start(check_, [](uv_check_t* c) {
-        auto& shell = *static_cast<EdgeShell*>(c->data);
+        auto& shell = *static_cast<EdgeServer*>(c->data);
         const Time begun = turn_begin(shell.loop_);
         shell.pump();
         shell.note_slow_turn(begun);
@@ -180,7 +180,7 @@
         uv_timer_start(
             reload_timer_,
             [](uv_timer_t* t) {
-                auto& shell = *static_cast<EdgeShell*>(t->data);
+                auto& shell = *static_cast<EdgeServer*>(t->data);
                 shell.reload_tls();
                 shell.pump_soon();
             },
@@ -196,26 +196,26 @@
     pump();
 }
 
-EdgeShell::~EdgeShell() { finish(); }
+EdgeServer::~EdgeServer() { finish(); }
 
 // Timers run before the sockets are read: what has come counts before what a time-out decides.
-void EdgeShell::pump_soon() {
+void EdgeServer::pump_soon() {
     if (!finished_) uv_idle_start(turn_, [](uv_idle_t*) {});
 }
 
-void EdgeShell::add(core::Input input) {
+void EdgeServer::add(core::Input input) {
     inputs_.emplace_back(std::move(input));
     pump_soon();
 }
 
-void EdgeShell::on_request(HttpServer::Peer peer, http::Request request) {
+void EdgeServer::on_request(HttpServer::Peer peer, http::Request request) {
     add(core::ClientRequest{{peer}, std::move(request)});
 }
-void EdgeShell::on_closed(HttpServer::Peer peer, const ConnectionEnd& end) {
+void EdgeServer::on_closed(HttpServer::Peer peer, const ConnectionEnd& end) {
     add(core::ClientClosed{{peer}, describe(end)});
 }
-void EdgeShell::on_idle_closed(const ConnectionEnd& end) { log_.debug("client_closed", describe(end)); }
-void EdgeShell::on_accept_failed(int error) {
+void EdgeServer::on_idle_closed(const ConnectionEnd& end) { log_.debug("client_closed", describe(end)); }
+void EdgeServer::on_accept_failed(int error) {
     const Time now = uv_now_time();
     accept_errors_ += 1;
     if (now < accept_logged_ + kAcceptLogPause) return;
@@ -223,30 +223,30 @@
     log_.warn("accept_failed", std::string(uv_err_name(-error)) + "; connections wait in the backlog; " +
                                    std::to_string(accept_errors_) + " such errors since the start");
 }
-void EdgeShell::on_backlog(HttpServer::Peer peer, bool full) { add(core::ClientBacklog{{peer}, full}); }
-bool EdgeShell::on_ready(HttpPool::Call call, http::Headers& headers) {
+void EdgeServer::on_backlog(HttpServer::Peer peer, bool full) { add(core::ClientBacklog{{peer}, full}); }
+bool EdgeServer::on_ready(UpstreamPool::Call call, http::Headers& headers) {
     return edge_.may_begin(uv_now_time(), {call}, headers);
 }
-void EdgeShell::on_sent(HttpPool::Call call) { add(core::CallSent{{call}}); }
-void EdgeShell::on_written(HttpPool::Call call) { add(core::CallWritten{{call}}); }
-void EdgeShell::on_head(HttpPool::Call call, int status, http::Headers headers) {
+void EdgeServer::on_sent(UpstreamPool::Call call) { add(core::CallSent{{call}}); }
+void EdgeServer::on_written(UpstreamPool::Call call) { add(core::CallWritten{{call}}); }
+void EdgeServer::on_head(UpstreamPool::Call call, int status, http::Headers headers) {
     add(core::CallHead{{call}, status, std::move(headers)});
 }
-void EdgeShell::on_body(HttpPool::Call call, std::string bytes) {
+void EdgeServer::on_body(UpstreamPool::Call call, std::string bytes) {
     add(core::CallBody{{call}, std::move(bytes)});
 }
-void EdgeShell::on_done(HttpPool::Call call) { add(core::CallDone{{call}}); }
-void EdgeShell::on_failed(HttpPool::Call call, engine::Ending ending, std::string detail) {
+void EdgeServer::on_done(UpstreamPool::Call call) { add(core::CallDone{{call}}); }
+void EdgeServer::on_failed(UpstreamPool::Call call, engine::Ending ending, std::string detail) {
     add(core::CallFailed{{call}, ending, std::move(detail)});
 }
 
-void EdgeShell::on_cache_message(const std::string& server, std::uint64_t sequence, std::string payload,
-                                 bool replayed) {
+void EdgeServer::on_cache_message(const std::string& server, std::uint64_t sequence, std::string payload,
+                                  bool replayed) {
     add(core::CacheMessage{server, sequence, std::move(payload), replayed});
 }
-void EdgeShell::on_cache_replay_ended(const std::string& server) { add(core::CacheReplayEnded{server}); }
+void EdgeServer::on_cache_replay_ended(const std::string& server) { add(core::CacheReplayEnded{server}); }
 
-void EdgeShell::pump() {
+void EdgeServer::pump() {
     if (pumping_ || finished_) return;
     pumping_ = true;
     for (;;) {
@@ -265,14 +265,14 @@
         const auto ms = static_cast<std::uint64_t>(std::max<std::int64_t>(0, (left + 999) / 1000));
         uv_update_time(&loop_);
         uv_timer_start(
-            wake_, [](uv_timer_t* t) { static_cast<EdgeShell*>(t->data)->pump_soon(); }, ms, 0);
+            wake_, [](uv_timer_t* t) { static_cast<EdgeServer*>(t->data)->pump_soon(); }, ms, 0);
     } else {
         uv_timer_stop(wake_);
     }
     pumping_ = false;
 }
 
-void EdgeShell::note_slow_turn(Time begun) {
+void EdgeServer::note_slow_turn(Time begun) {
     const auto report = slow_turns_.ended(begun, uv_now_time());
     if (!report) return;
     log_.warn("slow_turn", "the loop stood still for " + milliseconds_text(report->longest) +
@@ -281,27 +281,28 @@
                                std::to_string(edge_.server_count()) + " servers known");
 }
 
-void EdgeShell::reload_tls() {
-    const auto look = [&](tls::Rotation& rotation, const std::string& whose) {
-        const auto looked = rotation.look(std::time(nullptr));
-        if (looked == tls::Rotation::Look::replaced) {
+void EdgeServer::reload_tls() {
+    const auto look = [&](tls::CertificateReloader& certificate_reloader, const std::string& whose) {
+        const auto looked = certificate_reloader.poll(std::time(nullptr));
+        if (looked == tls::CertificateReloader::PollResult::replaced) {
             ++tls_replaced_;
             log_.info("tls_replaced", whose + ": new files are in use");
         }
-        if (looked == tls::Rotation::Look::refused) {
+        if (looked == tls::CertificateReloader::PollResult::refused) {
             ++tls_refused_;
-            log_.error("tls_refused", whose + ": " + rotation.error() + "; the last good files stay in use");
+            log_.error("tls_refused",
+                       whose + ": " + certificate_reloader.error() + "; the last good files stay in use");
         }
-        return looked == tls::Rotation::Look::replaced;
+        return looked == tls::CertificateReloader::PollResult::replaced;
     };
     bool trust_changed = false;
-    for (auto& [kind, rotation] : tls_)
-        trust_changed = look(rotation, "kind '" + kind + "'") || trust_changed;
-    if (trust_changed) inputs_.emplace_back(core::TrustChanged{});
+    for (auto& [kind, certificate_reloader] : tls_)
+        trust_changed = look(certificate_reloader, "kind '" + kind + "'") || trust_changed;
+    if (trust_changed) inputs_.emplace_back(core::TrustStoreChanged{});
     if (listener_tls_ && look(*listener_tls_, "listener")) clients_->set_tls(listener_tls_->context());
 }
 
-Target EdgeShell::target_of(const core::Call& call) {
+Target EdgeServer::target_of(const core::Call& call) {
     Target out(call.address);
     const auto it = tls_.find(call.server_kind);
     if (it == tls_.end()) return out;
@@ -311,16 +312,16 @@
     return out;
 }
 
-void EdgeShell::carry_out(core::Output& output) {
+void EdgeServer::carry_out(core::Output& output) {
     if (auto* bytes = std::get_if<core::StreamBytes>(&output)) {
         clients_->stream(bytes->client.value, bytes->bytes);
-    } else if (auto* reply = std::get_if<core::Reply>(&output)) {
+    } else if (auto* reply = std::get_if<core::SendResponse>(&output)) {
         clients_->reply(reply->client.value, reply->status, std::move(reply->headers), reply->body);
     } else if (auto* begin = std::get_if<core::StreamBegin>(&output)) {
         clients_->begin_stream(begin->client.value, std::move(begin->headers));
     } else if (auto* end = std::get_if<core::StreamEnd>(&output)) {
         clients_->end_stream(end->client.value);
-    } else if (const auto* cut = std::get_if<core::StreamCut>(&output)) {
+    } else if (const auto* cut = std::get_if<core::AbortStream>(&output)) {
         clients_->cut(cut->client.value);
     } else if (auto* call = std::get_if<core::Call>(&output)) {
         if (call->kind == core::CallKind::verify)
@@ -330,11 +331,11 @@
                         call->kind == core::CallKind::release);
     } else if (const auto* abort = std::get_if<core::CallAbort>(&output)) {
         servers_->cancel(abort->call.value);
-    } else if (const auto* ends = std::get_if<core::CallSendingEnds>(&output)) {
+    } else if (const auto* ends = std::get_if<core::HalfCloseCall>(&output)) {
         servers_->end_sending(ends->call.value);
-    } else if (const auto* settled = std::get_if<core::CallSettled>(&output)) {
+    } else if (const auto* settled = std::get_if<core::CompleteCall>(&output)) {
         servers_->settle(settled->call.value);
-    } else if (const auto* flow = std::get_if<core::CallFlow>(&output)) {
+    } else if (const auto* flow = std::get_if<core::SetCallPaused>(&output)) {
         servers_->flow(flow->call.value, flow->paused);
     } else if (const auto* follow = std::get_if<core::CacheFollow>(&output)) {
         try {
@@ -354,7 +355,7 @@
         });
     } else if (const auto* drop = std::get_if<core::CacheDrop>(&output)) {
         store_snapshot([&] { snapshots_->erase(drop->server); });
-    } else if (const auto* note = std::get_if<core::Note>(&output)) {
+    } else if (const auto* note = std::get_if<core::EmitRecord>(&output)) {
         if (admin_) metrics_.count(note->record);  // else nobody can ask for them
         log_.write(note->record);
     } else if (const auto* gone = std::get_if<core::ServerForgotten>(&output)) {
@@ -362,9 +363,9 @@
     }
 }
 
-void EdgeShell::take(core::ServerList list) { add(std::move(list)); }
+void EdgeServer::take(membership::EndpointList list) { add(std::move(list)); }
 
-void EdgeShell::admin_request(HttpServer::Peer peer, const http::Request& request) {
+void EdgeServer::admin_request(HttpServer::Peer peer, const http::Request& request) {
     http::Headers headers;
     headers.add("Content-Type", "application/json");
     const auto path = request.path();
@@ -417,9 +418,10 @@
             metrics_.set("listener_tls_handshakes_resumed", static_cast<double>(c.handshakes_resumed));
             metrics_.set("listener_tls_handshakes_failed", static_cast<double>(c.handshakes_failed));
         }
-        for (const auto& [kind, rotation] : tls_)
-            metrics_.set("tls_valid_seconds_" + metric_word(kind),
-                         static_cast<double>(rotation.context()->valid_until() - std::time(nullptr)));
+        for (const auto& [kind, certificate_reloader] : tls_)
+            metrics_.set(
+                "tls_valid_seconds_" + metric_word(kind),
+                static_cast<double>(certificate_reloader.context()->valid_until() - std::time(nullptr)));
         if (caches_) {
             const auto& p = g.prefixes;
             const auto heard = caches_->counts();
@@ -447,7 +449,7 @@
                   chat::format_error({404, "no such path", "invalid_request_error", "", "not_found"}));
 }
 
-void EdgeShell::drain() {
+void EdgeServer::drain() {
     if (shutdown_) return;
     const Time now = uv_now_time();
     shutdown_.emplace(now, settings_.limits);
@@ -465,7 +467,7 @@
     uv_timer_start(
         drain_timer_,
         [](uv_timer_t* t) {
-            auto& shell = *static_cast<EdgeShell*>(t->data);
+            auto& shell = *static_cast<EdgeServer*>(t->data);
             shell.drain_look_due_ = true;
             shell.pump_soon();
         },
@@ -474,7 +476,7 @@
 
 // Called behind a turn's reads. Guards against a listener that is closed over connections that nobody has
 // accepted: with what was written to them they would be reset.
-void EdgeShell::look_at_drain() {
+void EdgeServer::look_at_drain() {
     const Time now = uv_now_time();
     take_step(shutdown_->next(now));
     const auto gauges = edge_.gauges();
@@ -483,7 +485,7 @@
     if (shutdown_->over(now, outstanding)) finish();
 }
 
-void EdgeShell::take_step(core::Shutdown::Step step) {
+void EdgeServer::take_step(core::Shutdown::Step step) {
     switch (step) {
         case core::Shutdown::Step::wait: return;
         case core::Shutdown::Step::stop_taking:
@@ -499,7 +501,7 @@
 }
 
 // Without a snapshot the index only has to be filled anew: never a reason to stop.
-void EdgeShell::store_snapshot(const std::function<void()>& write) {
+void EdgeServer::store_snapshot(const std::function<void()>& write) {
     try {
         write();
     } catch (const std::runtime_error& error) {
@@ -507,7 +509,7 @@
     }
 }
 
-void EdgeShell::finish() {
+void EdgeServer::finish() {
     if (finished_) return;
     finished_ = true;
     if (shutdown_)
--- a/src/net/edge_shell.hpp
+++ b/src/net/edge_server.hpp
@@ -16,25 +16,25 @@
 #include "core/shutdown.hpp"
 #include "net/admin.hpp"
 #include "net/cache_feed.hpp"
-#include "net/http_pool.hpp"
 #include "net/http_server.hpp"
-#include "net/tls/files.hpp"
+#include "net/tls/certificate_reloader.hpp"
+#include "net/upstream_pool.hpp"
+#include "observe/event_loop_lag.hpp"
 #include "observe/log.hpp"
 #include "observe/metrics.hpp"
-#include "observe/slow_turns.hpp"
 #include "store/store.hpp"
 
 namespace chalksail::net {
 
-class EdgeShell : HttpServer::Handler, HttpPool::Handler, CacheFeed::Handler, membership::ListSink {
+class EdgeServer : HttpServer::Handler, UpstreamPool::Handler, CacheFeed::Handler, membership::ListSink {
 public:
     // Throws std::runtime_error if an address can't be listened on, std::invalid_argument for bad settings.
     // `list`: where the list of servers comes from; nullptr: the settings' own, and the admin listener.
-    EdgeShell(uv_loop_t& loop, const config::EdgeSettings& settings, observe::Log& log,
-              std::unique_ptr<membership::ListSource> list = nullptr);
-    ~EdgeShell() override;
-    EdgeShell(const EdgeShell&) = delete;
-    EdgeShell& operator=(const EdgeShell&) = delete;
+    EdgeServer(uv_loop_t& loop, const config::EdgeSettings& settings, observe::Log& log,
+               std::unique_ptr<membership::ListSource> list = nullptr);
+    ~EdgeServer() override;
+    EdgeServer(const EdgeServer&) = delete;
+    EdgeServer& operator=(const EdgeServer&) = delete;
 
     [[nodiscard]] const Address& address() const { return address_; }
     // Port 0: there is no admin listener.
@@ -53,17 +53,17 @@
     void on_backlog(HttpServer::Peer peer, bool full) override;
     void on_idle_closed(const ConnectionEnd& end) override;
     void on_accept_failed(int error) override;
-    bool on_ready(HttpPool::Call call, http::Headers& headers) override;
-    void on_sent(HttpPool::Call call) override;
-    void on_written(HttpPool::Call call) override;
-    void on_head(HttpPool::Call call, int status, http::Headers headers) override;
-    void on_body(HttpPool::Call call, std::string bytes) override;
-    void on_done(HttpPool::Call call) override;
-    void on_failed(HttpPool::Call call, engine::Ending ending, std::string detail) override;
+    bool on_ready(UpstreamPool::Call call, http::Headers& headers) override;
+    void on_sent(UpstreamPool::Call call) override;
+    void on_written(UpstreamPool::Call call) override;
+    void on_head(UpstreamPool::Call call, int status, http::Headers headers) override;
+    void on_body(UpstreamPool::Call call, std::string bytes) override;
+    void on_done(UpstreamPool::Call call) override;
+    void on_failed(UpstreamPool::Call call, engine::Ending ending, std::string detail) override;
     void on_cache_message(const std::string& server, std::uint64_t sequence, std::string payload,
                           bool replayed) override;
     void on_cache_replay_ended(const std::string& server) override;
-    void take(core::ServerList list) override;
+    void take(membership::EndpointList list) override;
     void admin_request(HttpServer::Peer peer, const http::Request& request);
 
     [[nodiscard]] Target target_of(const core::Call& call);
@@ -85,14 +85,14 @@
     std::unique_ptr<AdminHandler> admin_handler_;
     std::unique_ptr<HttpServer> clients_;
     std::unique_ptr<HttpServer> admin_;
-    std::unique_ptr<HttpPool> servers_;
+    std::unique_ptr<UpstreamPool> servers_;
     void store_snapshot(const std::function<void()>& write);
     std::unique_ptr<store::Store> snapshots_;  // nullptr: none are kept
     std::uint64_t snapshots_written_ = 0;
     std::unique_ptr<CacheFeed> caches_;  // nullptr: no kind publishes cache events
     std::vector<core::Input> inputs_;
-    std::map<std::string, tls::Rotation> tls_;  // by kind of server
-    std::optional<tls::Rotation> listener_tls_;
+    std::map<std::string, tls::CertificateReloader> tls_;  // by kind of server
+    std::optional<tls::CertificateReloader> listener_tls_;
     std::unique_ptr<membership::ListSource> list_;
     std::unique_ptr<SettingsSource> settings_source_;
     std::unique_ptr<AdminSource> admin_source_;
@@ -105,7 +105,7 @@
     uv_timer_t* reload_timer_ = nullptr;
     std::uint64_t accept_errors_ = 0;
     Time accept_logged_{};
-    observe::SlowTurns slow_turns_;
+    observe::EventLoopLag slow_turns_;
     std::uint64_t tls_refused_ = 0;
     std::uint64_t tls_replaced_ = 0;
     std::optional<core::Shutdown> shutdown_;  // from SIGTERM on
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -10,7 +10,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "net/system_fault.hpp"
+#include "net/system_error.hpp"
 
 namespace chalksail::net {
 namespace {
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "net/http_server.hpp"
-#include "net/system_fault.hpp"
+#include "net/system_error.hpp"
 
 namespace chalksail::net {
 namespace {
--- a/src/net/system_fault.cpp
+++ b/src/net/system_error.cpp
@@ -1,4 +1,4 @@
-#include "net/system_fault.hpp"
+#include "net/system_error.hpp"
 
 #include <cerrno>
 #include <cstdlib>
--- a/src/net/tls/files.cpp
+++ b/src/net/tls/certificate_reloader.cpp
@@ -1,4 +1,4 @@
-#include "net/tls/files.hpp"
+#include "net/tls/certificate_reloader.hpp"
 
 #include <fstream>
 #include <iterator>
@@ -70,7 +70,8 @@
 
 namespace {
 
-// Sessions verified under `old` would be verified under `next` too: nothing was taken from what is trusted.
+// SessionCache verified under `old` would be verified under `next` too: nothing was taken from what is
+// trusted.
 bool trusts_all_of(const Material& next, const Material& old) {
     if (next.revocation != old.revocation || next.certificate != old.certificate) return false;
     static const std::string end = "-----END CERTIFICATE-----";
@@ -93,7 +94,7 @@
 
 }  // namespace
 
-Rotation::Look Rotation::look(std::int64_t unix_now) {
+CertificateReloader::PollResult CertificateReloader::poll(std::int64_t unix_now) {
     std::vector<Material> materials;
     std::string unread;
     if (const auto* client = std::get_if<config::TlsConfig>(&config_)) {
@@ -104,7 +105,7 @@
         else unread = m.error();
     }
     const std::string now = unread.empty() ? joined(materials) : unread;
-    if (now == seen_) return Look::unchanged;
+    if (now == seen_) return PollResult::unchanged;
     seen_ = now;
     Context::Result next = tl::unexpected(unread);
     if (unread.empty()) {
@@ -114,14 +115,14 @@
     }
     if (!next) {
         error_ = next.error();
-        return Look::refused;
+        return PollResult::refused;
     }
     context_ = std::move(*next);
     error_.clear();
     // What was verified by a trust that is narrower now, or under another name of ours, is not resumed.
     if (!trusts_all_of(materials.front(), good_)) sessions_.clear();
     good_ = std::move(materials.front());
-    return Look::replaced;
+    return PollResult::replaced;
 }
 
 std::string expected_name(const std::string& pattern, const std::string& server) {
--- a/src/net/tls/files.hpp
+++ b/src/net/tls/certificate_reloader.hpp
@@ -21,28 +21,28 @@
 [[nodiscard]] Context::Result load_client(const config::TlsConfig& config, const Material& material,
                                           std::int64_t unix_now);
 
-// What is in use, and how it is replaced in service. Not a thread of its own: look() is called now and then.
-class Rotation {
+// What is in use, and how it is replaced in service. Not a thread of its own: poll() is called now and then.
+class CertificateReloader {
 public:
-    explicit Rotation(config::TlsConfig config) : config_(std::move(config)) {}
-    explicit Rotation(config::ListenerTls config) : config_(std::move(config)) {}
-    enum class Look { unchanged, replaced, refused };
+    explicit CertificateReloader(config::TlsConfig config) : config_(std::move(config)) {}
+    explicit CertificateReloader(config::ListenerTls config) : config_(std::move(config)) {}
+    enum class PollResult { unchanged, replaced, refused };
     // Reads the files; where they have changed and are good, new connections use them from now on. A bad set
     // keeps the last good one, and is refused once for each change (error()); key and certificate replaced
     // one after the other are such a set until both are there.
-    Look look(std::int64_t unix_now);
+    PollResult poll(std::int64_t unix_now);
     [[nodiscard]] const std::shared_ptr<Context>& context() const {
         return context_;
     }  // nullptr: never a good one
     [[nodiscard]] const std::string& error() const { return error_; }
     // Of servers: the name that they must prove, as the settings give it.
     [[nodiscard]] const std::string& pattern() const { return std::get<config::TlsConfig>(config_).name; }
-    [[nodiscard]] Sessions& sessions() { return sessions_; }
+    [[nodiscard]] SessionCache& sessions() { return sessions_; }
 
 private:
     std::variant<config::TlsConfig, config::ListenerTls> config_;
     std::shared_ptr<Context> context_;
-    Sessions sessions_;
+    SessionCache sessions_;
     std::string seen_;  // all texts of the last look
     Material good_;     // what is in use, of servers' trust
     std::string error_;
--- a/src/net/tls/filter.cpp
+++ b/src/net/tls/filter.cpp
@@ -228,7 +228,7 @@
 }
 
 std::unique_ptr<Filter> Filter::client(std::shared_ptr<Context> context, const std::string& name,
-                                       Sessions* sessions, std::int64_t unix_now) {
+                                       SessionCache* sessions, std::int64_t unix_now) {
     auto out = server(std::move(context), unix_now);
     out->name_ = name;
     out->sessions_ = sessions;
--- a/src/net/tls/filter.hpp
+++ b/src/net/tls/filter.hpp
@@ -18,7 +18,7 @@
 #include <tl/expected.hpp>
 #include <vector>
 
-#include "net/tls/sessions.hpp"
+#include "net/tls/session_cache.hpp"
 
 typedef struct ssl_ctx_st SSL_CTX;
 typedef struct ssl_st SSL;
@@ -102,7 +102,7 @@
     // `name`: a host name or an IP address that the server must prove. `sessions` may be nullptr; it must
     // outlive this.
     [[nodiscard]] static std::unique_ptr<Filter> client(std::shared_ptr<Context> context,
-                                                        const std::string& name, Sessions* sessions,
+                                                        const std::string& name, SessionCache* sessions,
                                                         std::int64_t unix_now);
     [[nodiscard]] static std::unique_ptr<Filter> server(std::shared_ptr<Context> context,
                                                         std::int64_t unix_now);
@@ -129,7 +129,7 @@
 
     std::shared_ptr<Context> context_;
     std::string name_;
-    Sessions* sessions_ = nullptr;
+    SessionCache* sessions_ = nullptr;
     std::int64_t unix_now_ = 0;
     SSL* ssl_ = nullptr;
     BIO* in_ = nullptr;   // owned by ssl_
--- a/src/net/tls/gate.cpp
+++ b/src/net/tls/handshake_limiter.cpp
@@ -1,16 +1,16 @@
-#include "net/tls/gate.hpp"
+#include "net/tls/handshake_limiter.hpp"
 
 namespace chalksail::net::tls {
 
-void HandshakeGate::unlist(const Server& server) {
+void HandshakeLimiter::unlist(const Server& server) {
     if (!server.waiting.empty()) first_.erase(*server.waiting.begin());
 }
-void HandshakeGate::list(const std::string& name, const Server& server) {
+void HandshakeLimiter::list(const std::string& name, const Server& server) {
     if (!server.waiting.empty() && server.under_way < limits_.per_server)
         first_.emplace(*server.waiting.begin(), name);
 }
 
-void HandshakeGate::enter(Id id, const std::string& server, double worth) {
+void HandshakeLimiter::enter(Id id, const std::string& server, double worth) {
     const Place place{-worth, ++order_, id};
     if (!entries_.emplace(id, Entry{server, place}).second) return;
     Server& s = servers_[server];
@@ -19,7 +19,7 @@
     list(server, s);
 }
 
-std::optional<HandshakeGate::Id> HandshakeGate::next() {
+std::optional<HandshakeLimiter::Id> HandshakeLimiter::next() {
     if (under_way_ >= limits_.in_all || first_.empty()) return std::nullopt;
     const auto [place, name] = *first_.begin();
     Server& s = servers_.at(name);
@@ -33,7 +33,7 @@
     return id;
 }
 
-void HandshakeGate::leave(Id id) {
+void HandshakeLimiter::leave(Id id) {
     const auto it = entries_.find(id);
     if (it == entries_.end()) return;
     const auto s = servers_.find(it->second.server);
@@ -49,13 +49,13 @@
     entries_.erase(it);
 }
 
-bool HandshakeGate::waits_for_all(Id id) const {
+bool HandshakeLimiter::waits_for_all(Id id) const {
     const auto it = entries_.find(id);
     return it != entries_.end() && !it->second.begun &&
            servers_.at(it->second.server).under_way < limits_.per_server;
 }
 
-std::optional<HandshakeGate::Id> HandshakeGate::waiting_for(const std::string& server) const {
+std::optional<HandshakeLimiter::Id> HandshakeLimiter::waiting_for(const std::string& server) const {
     const auto it = servers_.find(server);
     if (it == servers_.end() || it->second.waiting.empty()) return std::nullopt;
     return std::get<2>(*it->second.waiting.begin());
--- a/src/net/tls/gate.hpp
+++ b/src/net/tls/handshake_limiter.hpp
@@ -17,14 +17,14 @@
 
 namespace chalksail::net::tls {
 
-class HandshakeGate {
+class HandshakeLimiter {
 public:
     using Id = std::uint64_t;  // the owner's, used once
     struct Limits {
         std::size_t in_all = 64;
         std::size_t per_server = 8;
     };
-    explicit HandshakeGate(Limits limits) : limits_(limits) {}
+    explicit HandshakeLimiter(Limits limits) : limits_(limits) {}
 
     // Wants to begin. Waits until next() names it.
     void enter(Id id, const std::string& server, double worth);
--- a/src/net/tls/sessions.cpp
+++ b/src/net/tls/session_cache.cpp
@@ -1,4 +1,4 @@
-#include "net/tls/sessions.hpp"
+#include "net/tls/session_cache.hpp"
 
 #include <openssl/ssl.h>
 
@@ -8,13 +8,13 @@
 
 void SessionDeleter::operator()(SSL_SESSION* session) const { SSL_SESSION_free(session); }
 
-void Sessions::drop(const std::string& name) {
+void SessionCache::drop(const std::string& name) {
     const auto it = names_.find(name);
     order_.erase(it->second.place);
     names_.erase(it);
 }
 
-void Sessions::put(const std::string& name, Session session, std::int64_t unix_now, std::int64_t until) {
+void SessionCache::put(const std::string& name, Session session, std::int64_t unix_now, std::int64_t until) {
     if (SSL_SESSION_is_resumable(session.get()) == 0) return;
     auto it = names_.find(name);
     if (it == names_.end()) {
@@ -29,7 +29,7 @@
     if (kept.size() > limits_.each) kept.pop_front();
 }
 
-Session Sessions::take(const std::string& name, std::int64_t unix_now) {
+Session SessionCache::take(const std::string& name, std::int64_t unix_now) {
     const auto it = names_.find(name);
     if (it == names_.end()) return nullptr;
     auto& kept = it->second.kept;
@@ -50,12 +50,12 @@
     return out;
 }
 
-void Sessions::clear() {
+void SessionCache::clear() {
     names_.clear();
     order_.clear();
 }
 
-std::size_t Sessions::size() const {
+std::size_t SessionCache::size() const {
     std::size_t out = 0;
     for (const auto& [name, all] : names_) out += all.kept.size();
     return out;
--- a/src/net/tls/sessions.hpp
+++ b/src/net/tls/session_cache.hpp
@@ -1,4 +1,4 @@
-// Sessions to resume, by the name of the server that gave them. Bounded and aged. A session of TLS 1.3 is
+// SessionCache to resume, by the name of the server that gave them. Bounded and aged. A session of TLS 1.3 is
 // used once (RFC 8446, C.4); one of 1.2 stays until it is old. No I/O; the time of day is an argument.
 #pragma once
 
@@ -18,15 +18,15 @@
 };
 using Session = std::unique_ptr<SSL_SESSION, SessionDeleter>;
 
-class Sessions {
+class SessionCache {
 public:
     struct Limits {
         std::size_t names = 4096;
         std::size_t each = 16;  // of one name: some handshakes may run side by side
         std::int64_t seconds = 3600;
     };
-    Sessions() : Sessions(Limits{}) {}
-    explicit Sessions(Limits limits) : limits_(limits) {}
+    SessionCache() : SessionCache(Limits{}) {}
+    explicit SessionCache(Limits limits) : limits_(limits) {}
 
     // `until`: seconds since 1970 at which what was proved by it ends, the server's certificate mostly.
     void put(const std::string& name, Session session, std::int64_t unix_now, std::int64_t until);
--- a/src/net/http_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -1,4 +1,4 @@
-#include "net/http_pool.hpp"
+#include "net/upstream_pool.hpp"
 
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -10,7 +10,7 @@
 
 #include "base/backoff.hpp"
 #include "net/http_server.hpp"
-#include "net/system_fault.hpp"
+#include "net/system_error.hpp"
 
 namespace chalksail::net {
 
@@ -32,22 +32,22 @@
 
 }  // namespace
 
-struct HttpPool::Connection {
+struct UpstreamPool::Connection {
     uv_tcp_t socket{};
     uv_connect_t connect{};
-    HttpPool* pool = nullptr;
+    UpstreamPool* pool = nullptr;
     Target target;
     std::unique_ptr<tls::Filter> filter;  // where the target wants one
     http::ResponseReader reader;
     enum class State { dialling, idle, busy, closing } state = State::dialling;
     Call call = 0;
-    tls::HandshakeGate::Id shake = 0;  // 0: not at the gate
-    Duration rested{};                 // before this call; of a new connection: zero
-    bool heard = false;                // something of this call's answer has come
-    bool written = false;              // the last byte of this call's request was handed to the kernel
-    bool write_failed = false;         // some bytes will never be
-    bool sending_ended = false;        // closed for sending: of no use for another call
-    bool settled = false;              // nobody listens to the rest of this answer
+    tls::HandshakeLimiter::Id shake = 0;  // 0: not at the gate
+    Duration rested{};                    // before this call; of a new connection: zero
+    bool heard = false;                   // something of this call's answer has come
+    bool written = false;                 // the last byte of this call's request was handed to the kernel
+    bool write_failed = false;            // some bytes will never be
+    bool sending_ended = false;           // closed for sending: of no use for another call
+    bool settled = false;                 // nobody listens to the rest of this answer
     bool paused = false;
     Waiting first;                    // to send once connected
     bool short_of_resources = false;  // its dial has not left this machine yet, and is tried again ...
@@ -59,13 +59,13 @@
     [[nodiscard]] uv_stream_t* stream() { return reinterpret_cast<uv_stream_t*>(&socket); }
 };
 
-struct HttpPool::WriteJob {
+struct UpstreamPool::WriteJob {
     uv_write_t request{};
     std::string bytes;
     Connection* connection = nullptr;  // its handle outlives its writes
 };
 
-HttpPool::HttpPool(uv_loop_t& loop, Handler& handler, PoolLimits limits)
+UpstreamPool::UpstreamPool(uv_loop_t& loop, Handler& handler, PoolLimits limits)
     : loop_(loop),
       handler_(handler),
       limits_(limits),
@@ -75,20 +75,20 @@
     uv_timer_init(&loop_, sweeper_);
     sweeper_->data = this;
     uv_timer_start(
-        sweeper_, [](uv_timer_t* t) { static_cast<HttpPool*>(t->data)->sweep(); }, kPoolSweepMs,
+        sweeper_, [](uv_timer_t* t) { static_cast<UpstreamPool*>(t->data)->sweep(); }, kPoolSweepMs,
         kPoolSweepMs);
     uv_unref(reinterpret_cast<uv_handle_t*>(sweeper_));
 }
 
-HttpPool::~HttpPool() {
+UpstreamPool::~UpstreamPool() {
     close_all();
     uv_timer_stop(sweeper_);
     uv_close(reinterpret_cast<uv_handle_t*>(sweeper_),
              [](uv_handle_t* h) { delete reinterpret_cast<uv_timer_t*>(h); });
 }
 
-void HttpPool::start(Call call, const Target& to, std::string_view method, std::string_view target,
-                     http::Headers headers, std::string_view body, double worth, bool beyond_limit) {
+void UpstreamPool::start(Call call, const Target& to, std::string_view method, std::string_view target,
+                         http::Headers headers, std::string_view body, double worth, bool beyond_limit) {
     http::Headers all;
     all.add("Host", to.tls ? to.tls_name : format_address(to.address));
     for (auto& h : headers.all()) all.add(std::move(h.name), std::move(h.value));
@@ -116,7 +116,7 @@
 // The one used last: the others may be closed for want of use. One on which something has come, be it the end
 // or more than was asked for, is of no use: what is written to it would be lost, or answered by what came
 // before.
-HttpPool::Connection* HttpPool::take_idle(const Key& key) {
+UpstreamPool::Connection* UpstreamPool::take_idle(const Key& key) {
     const Duration longest = idle_limit_.longest(uv_now_time());
     for (;;) {
         const auto host = hosts_.find(key);
@@ -140,7 +140,7 @@
     }
 }
 
-bool HttpPool::may_dial() {
+bool UpstreamPool::may_dial() {
     if (limits_.connections == 0 || all_.size() < limits_.connections) return true;
     Connection* oldest = nullptr;
     for (Connection* c : all_)
@@ -151,7 +151,7 @@
     return true;
 }
 
-void HttpPool::connect(Call call, const Target& to) {
+void UpstreamPool::connect(Call call, const Target& to) {
     Host& host = hosts_[to.key()];
     // Its connections are all in use: that many are verified already, or will tell.
     if (host.connections >= limits_.per_server || !may_dial())
@@ -159,7 +159,7 @@
     dial(to, host, {call, uv_now_time(), std::nullopt, std::make_shared<Target>(to), 0});
 }
 
-void HttpPool::dial(const Target& target, Host& host, Waiting first) {
+void UpstreamPool::dial(const Target& target, Host& host, Waiting first) {
     auto* c = new Connection(limits_.message, target);
     c->pool = this;
     c->since = first.since;
@@ -178,7 +178,7 @@
 
 // Guards against servers that are blamed, and requests that are given up, for a moment in which this machine
 // has no descriptor, port or memory: until the dial's time is over it is tried again.
-void HttpPool::connect_now(Connection& c) {
+void UpstreamPool::connect_now(Connection& c) {
     const Address& address = c.target.address;
     sockaddr_storage where{};
     if (uv_ip4_addr(address.host.c_str(), address.port, reinterpret_cast<sockaddr_in*>(&where)) != 0)
@@ -196,7 +196,7 @@
     c.redial_at = uv_now_time() + c.redial.next();
 }
 
-void HttpPool::connected(Connection& c, int status) {
+void UpstreamPool::connected(Connection& c, int status) {
     if (status != 0) {
         counts_.dial_failed += 1;
         return broke(c, Ending::dial_failed, uv_strerror(status));
@@ -214,11 +214,11 @@
     counts_.handshakes_waiting_most = std::max(counts_.handshakes_waiting_most, gate_.waiting());
 }
 
-void HttpPool::open_gate() {
+void UpstreamPool::open_gate() {
     while (const auto id = gate_.next()) shake(*at_gate_.at(*id));
 }
 
-void HttpPool::shake(Connection& c) {
+void UpstreamPool::shake(Connection& c) {
     counts_.handshakes += 1;
     c.filter = tls::Filter::client(c.target.tls, c.target.tls_name, c.target.sessions, std::time(nullptr));
     const auto first = c.filter->start();
@@ -227,7 +227,7 @@
 }
 
 // The connection is there: what it was dialled for goes out.
-void HttpPool::ready(Connection& c) {
+void UpstreamPool::ready(Connection& c) {
     dialling_.erase(&c);
     const Call call = c.call;
     busy_.erase(call);
@@ -239,7 +239,7 @@
     send(c, call, *std::exchange(c.first.message, std::nullopt));
 }
 
-void HttpPool::start_reading(Connection& c) {
+void UpstreamPool::start_reading(Connection& c) {
     uv_read_start(
         c.stream(),
         [](uv_handle_t* h, std::size_t, uv_buf_t* buffer) {
@@ -253,7 +253,7 @@
         });
 }
 
-void HttpPool::send(Connection& c, Call call, Message message) {
+void UpstreamPool::send(Connection& c, Call call, Message message) {
     // Guards against a request that is late for its own purpose: the dial or the queue took its time.
     if (!handler_.on_ready(call, message.headers)) {
         c.call = 0;
@@ -276,7 +276,7 @@
     report_if_written(c);
 }
 
-void HttpPool::report_if_written(Connection& c) {
+void UpstreamPool::report_if_written(Connection& c) {
     if (c.state != Connection::State::busy || c.written || c.write_failed) return;
     if (uv_stream_get_write_queue_size(c.stream()) != 0) return;
     c.written = true;
@@ -284,11 +284,11 @@
     if (!c.settled) handler_.on_written(c.call);
 }
 
-void HttpPool::report_written() {
+void UpstreamPool::report_written() {
     for (auto* c : std::vector<Connection*>(writing_.begin(), writing_.end())) report_if_written(*c);
 }
 
-bool HttpPool::write(Connection& c, std::string bytes) {
+bool UpstreamPool::write(Connection& c, std::string bytes) {
     if (bytes.empty()) return true;
     // Most requests fit into the socket's buffer: they are out when this returns, without a job of their own.
     if (uv_stream_get_write_queue_size(c.stream()) == 0) {
@@ -315,7 +315,7 @@
     return error == 0;
 }
 
-void HttpPool::took(Connection& c, std::string_view bytes) {
+void UpstreamPool::took(Connection& c, std::string_view bytes) {
     if (!c.filter) {
         if (!c.target.tls) return plain(c, bytes);
         // Guards against a server that speaks first: it can only be one in the clear.
@@ -337,7 +337,7 @@
     if (step.ended) ended(c);
 }
 
-void HttpPool::peer_closed(Connection& c, int result) {
+void UpstreamPool::peer_closed(Connection& c, int result) {
     // Guards against a break that is taken for an end: an answer without a length would be whole with it.
     if (result != UV_EOF && c.state == Connection::State::busy)
         return broke(c, Ending::closed, std::string("connection broke: ") + uv_err_name(result));
@@ -348,24 +348,24 @@
     ended(c);
 }
 
-void HttpPool::tls_fault(Connection& c, const tls::Fault& fault) {
+void UpstreamPool::tls_fault(Connection& c, const tls::Fault& fault) {
     if (c.state == Connection::State::idle) return close(c);
     if (c.state != Connection::State::dialling) return broke(c, Ending::closed, "TLS: " + fault.text);
     counts_.dial_failed += 1;
     counts_.handshakes_failed += 1;
     const bool unproved = fault.kind == tls::FaultKind::verification;
-    broke(c, unproved ? Ending::not_verified : Ending::dial_failed,
+    broke(c, unproved ? Ending::unverified : Ending::dial_failed,
           (unproved ? "TLS, not verified: " : "TLS: ") + fault.text);
 }
 
-void HttpPool::plain(Connection& c, std::string_view bytes) {
+void UpstreamPool::plain(Connection& c, std::string_view bytes) {
     if (c.state != Connection::State::busy) return close(c);  // nothing was asked for
     if (!std::exchange(c.heard, true) && c.rested > Duration::zero())
         idle_limit_.used(uv_now_time(), c.rested, {}, false);
     pieces(c, c.reader.feed(bytes));
 }
 
-void HttpPool::ended(Connection& c) {
+void UpstreamPool::ended(Connection& c) {
     if (c.state == Connection::State::idle) return close(c);
     if (c.state == Connection::State::dialling) return broke(c, Ending::dial_failed, "closed by the server");
     auto rest = c.reader.close();
@@ -374,7 +374,7 @@
     if (c.state == Connection::State::busy) broke(c, Ending::closed, "closed by the server");
 }
 
-void HttpPool::pieces(Connection& c, std::vector<http::ResponsePiece> all) {
+void UpstreamPool::pieces(Connection& c, std::vector<http::ResponsePiece> all) {
     const Call call = c.call;
     for (auto& piece : all) {
         if (c.state != Connection::State::busy || c.call != call) return;
@@ -395,7 +395,7 @@
 }
 
 // The answer is whole: the connection waits for the next call, or goes.
-void HttpPool::finish(Connection& c, bool keep) {
+void UpstreamPool::finish(Connection& c, bool keep) {
     // Guards against an answer before its request's last byte: the rest would go out ahead of the next
     // request, and be answered in its place.
     const bool in_order = uv_stream_get_write_queue_size(c.stream()) == 0 && !c.write_failed;
@@ -407,7 +407,7 @@
 }
 
 // It waits for the next call, or is given what waits.
-void HttpPool::rest(Connection& c) {
+void UpstreamPool::rest(Connection& c) {
     c.state = Connection::State::idle;
     c.since = uv_now_time();
     const Key key = c.target.key();
@@ -415,7 +415,7 @@
     next(key);
 }
 
-void HttpPool::broke(Connection& c, Ending ending, const std::string& detail) {
+void UpstreamPool::broke(Connection& c, Ending ending, const std::string& detail) {
     const Call call = c.call;
     const bool told = !c.settled;
     report_if_written(c);
@@ -433,7 +433,7 @@
     if (told) handler_.on_failed(call, ending, why);
 }
 
-void HttpPool::close(Connection& c) {
+void UpstreamPool::close(Connection& c) {
     if (c.state == Connection::State::closing) return;
     c.state = Connection::State::closing;
     all_.erase(&c);
@@ -463,7 +463,7 @@
 }
 
 // Gives what waits for this server to a connection, if one is there or may be made.
-void HttpPool::next(const Key& key) {
+void UpstreamPool::next(const Key& key) {
     // What waits for a handshake takes a connection that has become free: one handshake less for the server.
     const auto waits_at_gate = [&]() -> Connection* {
         const auto id = gate_.waiting_for(gate_key(key));
@@ -506,7 +506,7 @@
     send(*c, w.call, std::move(*w.message));
 }
 
-void HttpPool::cancel(Call call) {
+void UpstreamPool::cancel(Call call) {
     if (const auto q = queued_.find(call); q != queued_.end()) {
         auto& waiting = hosts_[q->second].waiting;
         std::erase_if(waiting, [&](const Waiting& w) { return w.call == call; });
@@ -522,7 +522,7 @@
     close(c);
 }
 
-void HttpPool::end_sending(Call call) {
+void UpstreamPool::end_sending(Call call) {
     const auto it = busy_.find(call);
     if (it == busy_.end() || it->second->state != Connection::State::busy) return;
     Connection& c = *it->second;
@@ -531,14 +531,14 @@
     if (uv_fileno(reinterpret_cast<uv_handle_t*>(&c.socket), &fd) == 0) shutdown(fd, SHUT_WR);
 }
 
-void HttpPool::settle(Call call) {
+void UpstreamPool::settle(Call call) {
     const auto it = busy_.find(call);
     if (it == busy_.end()) return;
     it->second->settled = true;
     it->second->since = uv_now_time();
 }
 
-void HttpPool::flow(Call call, bool paused) {
+void UpstreamPool::flow(Call call, bool paused) {
     const auto it = busy_.find(call);
     if (it == busy_.end()) return;
     Connection& c = *it->second;
@@ -551,7 +551,7 @@
     start_reading(c);
 }
 
-void HttpPool::sweep() {
+void UpstreamPool::sweep() {
     const Time now = uv_now_time();
     std::vector<Connection*> late;
     std::vector<Connection*> unused;
@@ -604,7 +604,7 @@
     }
 }
 
-void HttpPool::close_all() {
+void UpstreamPool::close_all() {
     for (auto& [address, host] : hosts_) {
         for (const auto& w : host.waiting) queued_.erase(w.call);
         host.waiting.clear();
@@ -616,7 +616,7 @@
     }
 }
 
-HttpPool::Counts HttpPool::counts() const {
+UpstreamPool::Counts UpstreamPool::counts() const {
     Counts out = counts_;
     out.connections = all_.size();
     out.waiting = queued_.size();
--- a/src/net/http_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -32,7 +32,7 @@
 #include "http/message.hpp"
 #include "net/idle_limit.hpp"
 #include "net/tls/filter.hpp"
-#include "net/tls/gate.hpp"
+#include "net/tls/handshake_limiter.hpp"
 
 namespace chalksail::net {
 
@@ -45,7 +45,7 @@
     Duration idle = std::chrono::seconds(30);
     Duration rest{};  // one that has rested so long is taken first: a close right behind its answer would
                       // have come
-    tls::HandshakeGate::Limits handshakes;
+    tls::HandshakeLimiter::Limits handshakes;
     Duration settle = std::chrono::seconds(2);  // for the end of an answer of which all that matters is here
 };
 
@@ -55,14 +55,14 @@
     Target(Address to) : address(std::move(to)) {}  // NOLINT: an address alone is a target
     Address address;
     std::shared_ptr<tls::Context> tls;
-    std::string tls_name;               // that the server must prove
-    tls::Sessions* sessions = nullptr;  // outlives the pool
+    std::string tls_name;                   // that the server must prove
+    tls::SessionCache* sessions = nullptr;  // outlives the pool
     [[nodiscard]] std::pair<Address, std::string> key() const {
         return {address, tls ? tls_name : std::string()};
     }
 };
 
-class HttpPool {
+class UpstreamPool {
 public:
     using Call = std::uint64_t;
     struct Handler {
@@ -78,10 +78,10 @@
         virtual void on_failed(Call call, engine::Ending ending, std::string detail) = 0;
     };
 
-    HttpPool(uv_loop_t& loop, Handler& handler, PoolLimits limits);
-    ~HttpPool();
-    HttpPool(const HttpPool&) = delete;
-    HttpPool& operator=(const HttpPool&) = delete;
+    UpstreamPool(uv_loop_t& loop, Handler& handler, PoolLimits limits);
+    ~UpstreamPool();
+    UpstreamPool(const UpstreamPool&) = delete;
+    UpstreamPool& operator=(const UpstreamPool&) = delete;
 
     // Sends the request; Host, Content-Length and Connection are added. `worth` orders what waits for a
     // handshake. `beyond_limit`: it is made a connection even where all may have no more: few, and short.
@@ -183,9 +183,9 @@
     std::set<Connection*> dialling_;
     std::set<Connection*> writing_;  // of those with a call: its last byte is not known to be out
     IdleLimit idle_limit_;
-    tls::HandshakeGate gate_;
-    std::unordered_map<tls::HandshakeGate::Id, Connection*> at_gate_;  // waiting or in their handshake
-    tls::HandshakeGate::Id last_shake_ = 0;
+    tls::HandshakeLimiter gate_;
+    std::unordered_map<tls::HandshakeLimiter::Id, Connection*> at_gate_;  // waiting or in their handshake
+    tls::HandshakeLimiter::Id last_shake_ = 0;
     std::uint64_t sweeps_ = 0;
     Counts counts_;
 };
--- a/src/observe/slow_turns.hpp
+++ b/src/observe/event_loop_lag.hpp
@@ -10,7 +10,7 @@
 
 namespace chalksail::observe {
 
-class SlowTurns {
+class EventLoopLag {
 public:
     struct Report {
         Duration longest{};       // of the turns since the last report
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -44,7 +44,7 @@
             .number("completion_tokens", r.completion_tokens)
             .whole("chunks", r.chunks)
             .flag("stream", r.streamed)
-            .text("trail", r.trail)
+            .text("trail", r.attempt_history)
             .done();
     }
     std::string operator()(const ServerRecord& r) const {
@@ -87,13 +87,13 @@
 
 }  // namespace
 
-std::string_view name(Fate fate) {
+std::string_view name(Termination fate) {
     switch (fate) {
-        case Fate::served: return "served";
-        case Fate::refused: return "refused";
-        case Fate::failed: return "failed";
-        case Fate::client_gone: return "client_gone";
-        case Fate::rejected: return "rejected";
+        case Termination::served: return "served";
+        case Termination::refused: return "refused";
+        case Termination::failed: return "failed";
+        case Termination::client_gone: return "client_gone";
+        case Termination::rejected: return "rejected";
     }
     return "unknown";
 }
--- a/src/observe/record.hpp
+++ b/src/observe/record.hpp
@@ -26,15 +26,15 @@
 };
 
 // Who ended a request, and how. `rejected` is the client's own fault (4xx), by our checks or by an engine's.
-enum class Fate { served, refused, failed, client_gone, rejected };
-[[nodiscard]] std::string_view name(Fate fate);
+enum class Termination { served, refused, failed, client_gone, rejected };
+[[nodiscard]] std::string_view name(Termination fate);
 
 struct RequestRecord {
     std::string request;
     std::string client_request;  // the client's own X-Request-Id
     std::string class_name;
     std::string tenant;
-    Fate fate = Fate::served;
+    Termination fate = Termination::served;
     int status = 0;
     std::string reason;  // a word for a counter: held, deadline, attempts, engine, limit, ...
     Duration total{};
@@ -45,7 +45,7 @@
     std::int64_t chunks = 0;
     bool streamed = false;
     // "reader-1:read:read/12ms writer-2:write:ok/340ms"
-    std::string trail;
+    std::string attempt_history;
 };
 
 // A server's entry in the list changed, or a call beside the attempts ended.
--- a/src/platform/answer.cpp
+++ b/src/platform/answer.cpp
@@ -24,21 +24,22 @@
     switch (f.ended) {
         case Ended::answered: break;
         case Ended::no_connection:
-        case Ended::broke: return {f.written ? Outcome::reset : Outcome::connect_failed};
-        case Ended::spoilt: return {f.started ? Outcome::reset : Outcome::error};
-        case Ended::timed_out: return {f.written ? Outcome::timeout : Outcome::connect_failed};
-        case Ended::called_off: return {f.written ? Outcome::cancelled : Outcome::connect_failed};
+        case Ended::broke: return {f.written ? AttemptOutcome::reset : AttemptOutcome::connect_failed};
+        case Ended::spoilt: return {f.started ? AttemptOutcome::reset : AttemptOutcome::error};
+        case Ended::timed_out: return {f.written ? AttemptOutcome::timeout : AttemptOutcome::connect_failed};
+        case Ended::called_off:
+            return {f.written ? AttemptOutcome::cancelled : AttemptOutcome::connect_failed};
     }
-    if (f.not_run && f.status == kStateGone) return {Outcome::full, 1};
-    if (f.not_run && (f.status == 503 || f.status == 504)) return {Outcome::full};
+    if (f.not_run && f.status == kStateGone) return {AttemptOutcome::at_capacity, true};
+    if (f.not_run && (f.status == 503 || f.status == 504)) return {AttemptOutcome::at_capacity};
     // An answer before the request's last byte has gone out: what was not whole was not begun.
-    if (!f.written) return {Outcome::connect_failed};
-    if (f.read && f.status == kReadDone && f.whole) return {Outcome::read};
+    if (!f.written) return {AttemptOutcome::connect_failed};
+    if (f.read && f.status == kReadDone && f.whole) return {AttemptOutcome::prefilled};
     if (!f.read && f.status == 200) {
-        if (f.whole) return {Outcome::ok};
-        return {f.started ? Outcome::reset : Outcome::error};
+        if (f.whole) return {AttemptOutcome::ok};
+        return {f.started ? AttemptOutcome::reset : AttemptOutcome::error};
     }
-    return {Outcome::error};
+    return {AttemptOutcome::error};
 }
 
 EventReader::Events EventReader::feed(std::string_view bytes) {
--- a/src/platform/answer.hpp
+++ b/src/platform/answer.hpp
@@ -38,8 +38,8 @@
     bool not_run = false;  // the server's word for it
 };
 struct Verdict {
-    Outcome outcome = Outcome::error;
-    double remark = 0;  // of `full`: 1 if the read state was gone
+    AttemptOutcome outcome = AttemptOutcome::error;
+    bool kv_state_missing = false;  // at_capacity only: there was no KV state to fetch
 };
 // The page's table, in its one place.
 [[nodiscard]] Verdict judge(const Facts& facts);
--- a/src/platform/list.cpp
+++ b/src/platform/list.cpp
@@ -13,12 +13,13 @@
     Instance out;
     out.id = required<std::string>(item, "instanceId");
     if (out.id.empty()) reject("instanceId", "text wanted");
-    out.state = word<ServerState>(
-        item, "lifecycle",
-        {{"up", ServerState::up}, {"draining", ServerState::draining}, {"removed", ServerState::removed}});
+    out.state = word<EndpointState>(item, "lifecycle",
+                                    {{"up", EndpointState::up},
+                                     {"draining", EndpointState::draining},
+                                     {"removed", EndpointState::removed}});
     const auto address = parse_address(optional<std::string>(item, "hostPort"));
     // One that is gone needs no address.
-    if ((!address || address->port == 0) && out.state != ServerState::removed)
+    if ((!address || address->port == 0) && out.state != EndpointState::removed)
         reject("hostPort", "IP:PORT wanted");
     if (address) out.address = *address;
     out.zone = optional<std::string>(item, "zone");
--- a/src/platform/list.hpp
+++ b/src/platform/list.hpp
@@ -20,7 +20,7 @@
     std::string zone;
     std::string kind;
     std::int64_t cell = 0;
-    ServerState state = ServerState::up;
+    EndpointState state = EndpointState::up;
     double weight = 1;
     std::int64_t started_unix_ms = 0;  // 0: long ago
 };
--- a/src/platform/settings.cpp
+++ b/src/platform/settings.cpp
@@ -37,22 +37,26 @@
     std::size_t i = 0;
     for (const auto& item : array(o, "classes").GetArray()) {
         if (!item.IsObject()) reject("classes", "objects wanted");
-        ClassSettings c;
+        RequestClassSettings c;
         c.name = required<std::string>(item, "name");
-        c.aim = required<Duration>(item, "aim_ns");
+        c.first_token_objective = required<Duration>(item, "aim_ns");
         c.deadline = required<Duration>(item, "deadline_ns");
-        c.effect = word<Effect>(
-            item, "effect",
-            {{"repeatable", Effect::repeatable}, {"by_key", Effect::by_key}, {"once", Effect::once}});
+        c.idempotency = word<Idempotency>(item, "effect",
+                                          {{"repeatable", Idempotency::idempotent},
+                                           {"by_key", Idempotency::idempotent_by_key},
+                                           {"once", Idempotency::non_idempotent}});
         if (find(item, "group"))
-            c.group = word<Group>(item, "group",
-                                  {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}});
-        c.window = optional<Duration>(item, "window_ns");
-        c.worth = required<double>(item, "gain");
-        c.late_worth = optional<double>(item, "late_worth");
+            c.deduplication_scope = word<DeduplicationScope>(item, "group",
+                                                             {{"all", DeduplicationScope::all},
+                                                              {"zone", DeduplicationScope::zone},
+                                                              {"cell", DeduplicationScope::cell}});
+        c.deduplication_window = optional<Duration>(item, "window_ns");
+        c.priority_weight = required<double>(item, "gain");
+        c.late_weight_factor = optional<double>(item, "late_worth");
         if (i < aim_per_k.size())
-            c.aim_per_1000_tokens = Duration(static_cast<std::int64_t>(aim_per_k[i] * 1000));
-        if (i < token_aim.size()) c.token_aim = Duration(static_cast<std::int64_t>(token_aim[i]));
+            c.first_token_objective_per_1000_tokens =
+                Duration(static_cast<std::int64_t>(aim_per_k[i] * 1000));
+        if (i < token_aim.size()) c.inter_token_objective = Duration(static_cast<std::int64_t>(token_aim[i]));
         s.classes.push_back(c);
         ++i;
     }
@@ -60,7 +64,7 @@
     const auto duties = row<std::string>(extra, "duty_by_kind");
     const auto memory = row<double>(extra, "tokens_by_kind");
     for (i = 0; i < names.size(); ++i) {
-        KindSettings kind{names[i], Role::mixed, i < memory.size() ? memory[i] : 0};
+        ServerKindSettings kind{names[i], Role::mixed, i < memory.size() ? memory[i] : 0};
         if (i >= duties.size()) reject("duty_by_kind", "one entry for each kind wanted");
         if (duties[i] == "read") kind.role = Role::prefill;
         else if (duties[i] == "write") kind.role = Role::decode;
@@ -87,27 +91,27 @@
     s.tick = required<Duration>(o, "tick_ns");
     s.answer_slack = optional<Duration>(rules, "answer_slack_ns");
     s.release_within = optional<Duration>(extra, "release_within_ns");
-    s.cold_for = optional<Duration>(rules, "cold_ns");
-    s.cold_from = required<double>(rules, "cold_from");
-    s.fall_multiple = required<double>(rules, "fall_multiple");
-    s.fall_window = required<Duration>(rules, "fall_ns");
-    s.ask_within = optional<Duration>(rules, "ask_within_ns");
+    s.slow_start_duration = optional<Duration>(rules, "cold_ns");
+    s.slow_start_initial_capacity = required<double>(rules, "cold_from");
+    s.slow_start_overload_factor = required<double>(rules, "fall_multiple");
+    s.slow_start_overload_window = required<Duration>(rules, "fall_ns");
+    s.poll_within = optional<Duration>(rules, "ask_within_ns");
     s.dial_timeout = optional<Duration>(limits, "dial_timeout_ns");
     s.max_retry_after = optional<Duration>(limits, "max_retry_after_ns");
     if (!optional<bool>(limits, "retry_after")) s.max_retry_after = Duration::zero();
     s.max_attempts = required<int>(limits, "send_cap");
-    s.may_cancel = optional<bool>(limits, "cancel");
-    s.may_probe = optional<bool>(limits, "probes");
-    s.second_copies = optional<bool>(limits, "second_copies");
-    s.over_share_worth = optional<double>(o, "over_share_worth");
-    s.far_price = optional<double>(extra, "far_price");
+    s.cancellation_enabled = optional<bool>(limits, "cancel");
+    s.health_checks_enabled = optional<bool>(limits, "probes");
+    s.hedging_enabled = optional<bool>(limits, "second_copies");
+    s.over_quota_weight_factor = optional<double>(o, "over_share_worth");
+    s.cross_cell_cost = optional<double>(extra, "far_price");
     if (const Json* costs = find(o, "costs"); costs && costs->IsObject())
-        s.cross_zone_price = optional<double>(*costs, "cross_zone");
-    s.worth_by_work = optional<std::string>(o, "value_by") == "work";
-    s.must_ask_for_list = required<std::string>(o, "discovery") == "ask";
-    s.early_pairing = optional<bool>(extra, "early_pairing");
-    s.read_in_place = optional<bool>(extra, "read_in_place");
-    s.resume = optional<bool>(extra, "resume");
+        s.cross_zone_cost = optional<double>(*costs, "cross_zone");
+    s.weigh_by_work = optional<std::string>(o, "value_by") == "work";
+    s.endpoint_watch_required = required<std::string>(o, "discovery") == "ask";
+    s.early_reservation_enabled = optional<bool>(extra, "early_pairing");
+    s.prefill_on_decode_enabled = optional<bool>(extra, "read_in_place");
+    s.stream_resumption_enabled = optional<bool>(extra, "resume");
     return s;
 }
 
--- a/src/policy/fleet_counts.hpp
+++ b/src/policy/fleet_counts.hpp
@@ -41,7 +41,7 @@
         const bool writes = server.role != Role::prefill;
         if (!in_service(server)) return;
         const bool cold = is_cold(server, now, cold_for_);
-        if (cold) next_warm_ = std::min(next_warm_, server.entry.born + cold_for_);
+        if (cold) next_warm_ = std::min(next_warm_, server.entry.started_at + cold_for_);
         else warm_[server.role] += 1;
         if (server.ejection == Duration::zero()) healthy_[server.role] += 1;
         if (!writes) return;
