--- a/src/policy/brain.cpp
+++ b/src/policy/router.cpp
@@ -61,15 +61,17 @@
 constexpr int kLoopBehind = 4;       // part of the shortest aim by which a step may come after its time
 }  // namespace
 
-class Brain::Impl {
+class Router::Impl {
 public:
     Impl(const Settings& settings, std::uint64_t seed)
-        : s_(settings), own_seed_(std::to_string(seed)), counts_(settings.cold_for, settings.cold_from) {
+        : s_(settings),
+          own_seed_(std::to_string(seed)),
+          counts_(settings.slow_start_duration, settings.slow_start_initial_capacity) {
         validate(s_);
         stream_seconds_.resize(s_.classes.size());
         class_work_.resize(s_.classes.size());
-        shortest_aim_ = s_.classes.front().aim;
-        for (const auto& c : s_.classes) shortest_aim_ = std::min(shortest_aim_, c.aim);
+        shortest_aim_ = s_.classes.front().first_token_objective;
+        for (const auto& c : s_.classes) shortest_aim_ = std::min(shortest_aim_, c.first_token_objective);
         for (const auto& t : s_.tenants) share_left_[t.name] = t.quota_per_s / s_.gateways;
     }
 
@@ -84,7 +86,7 @@
         if (!begun_) {
             begun_ = true;
             last_refill_ = now;
-            if (s_.must_ask_for_list) actions_.emplace_back(FollowList{true});
+            if (s_.endpoint_watch_required) actions_.emplace_back(WatchEndpoints{true});
         }
         refill_shares();
         for (const auto& event : events) std::visit([this](const auto& e) { on(e); }, event);
@@ -101,26 +103,28 @@
     enum class Stage { read, write };
 
     // ================= arrival =================
-    void on(const Arrived& in) {
+    void on(const RequestArrived& in) {
         if (requests_.contains(in.id)) return;
         // A gateway whose loop is behind can only answer late: what is new is turned away at once.
-        if (behind_) return void(actions_.emplace_back(Refuse{in.id, s_.max_retry_after / 2}));
+        if (behind_) return void(actions_.emplace_back(Reject{in.id, s_.max_retry_after / 2}));
         const auto cls = std::find_if(s_.classes.begin(), s_.classes.end(),
                                       [&](const auto& c) { return c.name == in.class_name; });
         if (cls == s_.classes.end()) {  // nothing is known of it: safe to refuse, it was never sent
-            actions_.emplace_back(Refuse{in.id, {}});
+            actions_.emplace_back(Reject{in.id, {}});
             return;
         }
         Request r;
         r.in = in;
         r.prefix_key = "p" + in.prefix;
         r.session_key = "s" + in.session;
-        std::sort(r.in.known.begin(), r.in.known.end(),
+        std::sort(r.in.cached_prefixes.begin(), r.in.cached_prefixes.end(),
                   [](const auto& a, const auto& b) { return a.server < b.server; });
         r.cls = static_cast<std::size_t>(cls - s_.classes.begin());
-        r.deadline = now_ + in.time_left;
-        r.aim = now_ + std::min(in.time_left, cls->aim + from_seconds(seconds(cls->aim_per_1000_tokens) *
-                                                                      in.prompt_tokens / 1000));
+        r.deadline = now_ + in.time_remaining;
+        r.aim = now_ + std::min(in.time_remaining,
+                                cls->first_token_objective +
+                                    from_seconds(seconds(cls->first_token_objective_per_1000_tokens) *
+                                                 in.prompt_tokens / 1000));
         r.output = predicted_output(r);
         log_tokens_.add(std::log(std::max(1.0, r.tokens())), kSizeStep);
         r.arrived = now_;
@@ -142,9 +146,9 @@
 
     // The upper edge of the bucket that the guess falls in, capped by what the client allows.
     double predicted_output(const Request& r) const {
-        const double interval = std::max(1e-3, seconds(s_.classes[r.cls].token_aim));
-        const double guess = r.in.length_hint > Duration::zero()
-                                 ? seconds(r.in.length_hint) / interval
+        const double interval = std::max(1e-3, seconds(s_.classes[r.cls].inter_token_objective));
+        const double guess = r.in.output_duration_hint > Duration::zero()
+                                 ? seconds(r.in.output_duration_hint) / interval
                                  : stream_seconds_[r.cls].or_else(kFirstBucketEdge * interval) / interval;
         double edge = kFirstBucketEdge;
         while (edge < guess && edge < 1e9) edge *= kBucketGrowth;
@@ -167,9 +171,9 @@
     // What one unit of its work earns if it starts now: late work keeps only its late worth.
     double urgency(const Request& r) const {
         const auto& c = s_.classes[r.cls];
-        double worth = c.worth * (r.over_share ? s_.over_share_worth : 1);
-        if (now_ + service_time(r) > r.aim) worth *= c.late_worth;
-        return s_.worth_by_work ? worth : worth / std::max(1.0, class_work_[r.cls].mean);
+        double worth = c.priority_weight * (r.over_share ? s_.over_quota_weight_factor : 1);
+        if (now_ + service_time(r) > r.aim) worth *= c.late_weight_factor;
+        return s_.weigh_by_work ? worth : worth / std::max(1.0, class_work_[r.cls].mean);
     }
     // How long from a read's start to the first token, as things are.
     Duration service_time(const Request& r) const {
@@ -267,7 +271,7 @@
             send(id, r, *mixed, false);
         } else if (reader != nullptr) {
             send(id, r, *reader, true);
-        } else if (s_.read_in_place && writer != nullptr && !any_usable_reader(r)) {
+        } else if (s_.prefill_on_decode_enabled && writer != nullptr && !any_usable_reader(r)) {
             send(id, r, *writer, false);  // exception: no reader is left, a writer may read by itself
         }
     }
@@ -289,10 +293,11 @@
         const auto reader = servers_.find(*r.state_at);
         if (reader == servers_.end()) return 0;
         const auto link = links_.find(reader->second.entry.cell);
-        const Duration fresh = blind() ? s_.cold_for : kReportAims * shortest_aim_;
+        const Duration fresh = blind() ? s_.slow_start_duration : kReportAims * shortest_aim_;
         const bool heard = link != links_.end() && now_ - link->second.second < fresh;
         const double late =
-            heard ? std::min(1.0, link->second.first.mean / seconds(s_.classes[r.cls].aim)) : 0;
+            heard ? std::min(1.0, link->second.first.mean / seconds(s_.classes[r.cls].first_token_objective))
+                  : 0;
         // A cell short of writers sends part of its states, by hash, to cells with spare ones; fewer if slow.
         const bool leaves = blind() && unit(r.in.session, "leaves") * (1 - late / kQueueShare) >
                                            1 / std::max(1e-9, need(reader->second));
@@ -318,20 +323,21 @@
     // Exception to the guess: where a server tells what it caches, that counts, and nothing else.
     static double told_tokens(const Server& s, const Request& r) {
         const auto it =
-            std::lower_bound(r.in.known.begin(), r.in.known.end(), s.entry.id,
-                             [](const KnownPrefix& k, const ServerId& id) { return k.server < id; });
-        return it != r.in.known.end() && it->server == s.entry.id ? it->tokens : 0;
+            std::lower_bound(r.in.cached_prefixes.begin(), r.in.cached_prefixes.end(), s.entry.id,
+                             [](const CachedPrefix& k, const ServerId& id) { return k.server < id; });
+        return it != r.in.cached_prefixes.end() && it->server == s.entry.id ? it->tokens : 0;
     }
     // Exception to the readers' choice: while another reader is told to cache much more of the text and only
     // lacks room, a request waits for that one for a part of its aim. Reading it anew would prolong the jam.
     bool waits_for_its_text(const Server& s, const Request& r) const {
         if (now_ >= r.arrived + from_seconds(kWaitForText * seconds(r.aim - r.arrived))) return false;
-        return std::any_of(r.in.known.begin(), r.in.known.end(), [&](const KnownPrefix& k) {
-            const auto it = servers_.find(k.server);
-            return it != servers_.end() && it->second.prefixes_told && usable(it->second, r) &&
-                   read_score(it->second, r) >= read_score(s, r) &&
-                   k.tokens - told_tokens(s, r) > kMuchText * r.in.prompt_tokens;
-        });
+        return std::any_of(
+            r.in.cached_prefixes.begin(), r.in.cached_prefixes.end(), [&](const CachedPrefix& k) {
+                const auto it = servers_.find(k.server);
+                return it != servers_.end() && it->second.prefixes_told && usable(it->second, r) &&
+                       read_score(it->second, r) >= read_score(s, r) &&
+                       k.tokens - told_tokens(s, r) > kMuchText * r.in.prompt_tokens;
+            });
     }
     static double fresh_tokens(const Server& s, const Request& r) {
         if (s.prefixes_told) return std::max(0.0, r.in.prompt_tokens - told_tokens(s, r));
@@ -354,7 +360,7 @@
     bool has_read_room(const Server& s, const Request& r) const {
         const double time =
             read_pace_.or_else(0) * slow(s) * (kReadOverhead + s.prompt_tokens + fresh_tokens(s, r));
-        return s.prompt_tokens <= 0 || time < kReadShare * seconds(s_.classes[r.cls].aim);
+        return s.prompt_tokens <= 0 || time < kReadShare * seconds(s_.classes[r.cls].first_token_objective);
     }
 
     // Weight of a reader in the hash: states stay in their cell, so one beside many writers gets more. It
@@ -444,7 +450,8 @@
             Server& s = *candidate;
             if (!fits(s) || !usable(s, r)) continue;
             // One error may be the first of many: "once" requests keep away until it has served well again.
-            const bool doubt = s_.classes[r.cls].effect != Effect::repeatable && s.error_share > kErrorDoubt;
+            const bool doubt =
+                s_.classes[r.cls].idempotency != Idempotency::idempotent && s.error_share > kErrorDoubt;
             const Key key{r.failed_at.contains(s.entry.id) ? 0 : doubt ? 1 : 2, score(s)};
             if (best_key && key <= *best_key) continue;
             best = &s;
@@ -467,7 +474,7 @@
     void release_state(RequestId id, Request& r) {
         if (!r.state_at) return;
         drop_state(r);
-        actions_.emplace_back(Release{id});
+        actions_.emplace_back(ReleaseKvState{id});
     }
     void drop_state(Request& r) {
         if (!r.state_at) return;
@@ -529,12 +536,14 @@
         Attempt a{{r.sends},       s.entry.id, now_, read,  fresh_tokens(s, r),
                   s.prompt_tokens, false,      {},   false, {}};
         const bool spare = attempts_left(r) > (read ? 2 : 1);
-        if (spare && (read || s_.classes[r.cls].effect != Effect::once)) {
+        if (spare && (read || s_.classes[r.cls].idempotency != Idempotency::non_idempotent)) {
             double usual = (read ? read_time_ : first_token_).or_else(0);
             if (read) usual = std::max(usual, read_pace_.or_else(0) * (kReadOverhead + a.fresh + a.ahead));
-            a.patience = std::max(s_.classes[r.cls].aim / 2, from_seconds(kTimeoutFactor * usual));
+            a.patience =
+                std::max(s_.classes[r.cls].first_token_objective / 2, from_seconds(kTimeoutFactor * usual));
         }
-        const Duration timeout = s_.may_cancel ? Duration::zero() : std::min(a.patience, r.deadline - now_);
+        const Duration timeout =
+            s_.cancellation_enabled ? Duration::zero() : std::min(a.patience, r.deadline - now_);
         r.sends += 1;
         s.in_use += 1;
         s.last_sent = now_;
@@ -556,7 +565,7 @@
     }
 
     // ================= cold starts =================
-    bool cold(const Server& s) const { return is_cold(s, now_, s_.cold_for); }
+    bool cold(const Server& s) const { return is_cold(s, now_, s_.slow_start_duration); }
     // A cold server gets our part of what the rule lets it bear, taking a warm one to bear what we send it.
     // Under one request a window it gets one in a longer window, and the first after a drawn wait.
     bool cold_budget_allows(const Server& s, std::size_t cls) const {
@@ -578,11 +587,12 @@
         const auto [it, fresh] = cold_budgets_.try_emplace(std::pair(role, cls));
         if (!fresh) return it->second;
         ColdBudget& out = it->second;
-        out.work = kColdCaution * s_.fall_multiple * s_.cold_from * seconds(s_.fall_window) * warm_rate(role);
+        out.work = kColdCaution * s_.slow_start_overload_factor * s_.slow_start_initial_capacity *
+                   seconds(s_.slow_start_overload_window) * warm_rate(role);
         const double stretch =
             std::clamp(class_work_[cls].mean / std::max(out.work, 1e-9), 1.0, 1.0 * s_.gateways);
-        out.window = from_seconds(seconds(s_.fall_window) * stretch) + s_.tick;
-        out.longest_wait = seconds(s_.fall_window) * (stretch - 1);
+        out.window = from_seconds(seconds(s_.slow_start_overload_window) * stretch) + s_.tick;
+        out.longest_wait = seconds(s_.slow_start_overload_window) * (stretch - 1);
         return out;
     }
     // The work that we send to warm servers of each role, fading over a few windows.
@@ -598,7 +608,7 @@
         if (double& sum = warm_work_[s.role].first; !cold(s))
             sum = std::max(0.0, sum - class_work_[r.cls].mean);
     }
-    double warm_span() const { return kWarmWindows * std::max(1.0, seconds(s_.fall_window)); }
+    double warm_span() const { return kWarmWindows * std::max(1.0, seconds(s_.slow_start_overload_window)); }
     double warm_rate(Role role) const {  // a second, at one of them
         const auto at = warm_work_.find(role);
         const auto warm = counts().warm(role);
@@ -614,17 +624,18 @@
         Request& r = it->second;
         r.out->started = true;
         r.out->started_at = now_;
-        first_token_.add(seconds(e.taken), kSmooth);
+        first_token_.add(seconds(e.elapsed), kSmooth);
         const Server* reader = r.state_at ? find(*r.state_at) : nullptr;
         if (Server* s = find(r.out->server)) {
             s->last_answer = now_;
             // Without reports: a first token that takes long after a move inside the cell has queued there.
             const bool near = reader != nullptr && reader->entry.cell == s->entry.cell;
-            if (near && !memory_reports() && seconds(e.taken) > kQueueShare * seconds(s_.classes[r.cls].aim))
+            if (near && !memory_reports() &&
+                seconds(e.elapsed) > kQueueShare * seconds(s_.classes[r.cls].first_token_objective))
                 lower_limit(limited(*s), r.out->sent);
             if (reader != nullptr && !near) {
                 auto& [mean, heard_at] = links_[reader->entry.cell];
-                mean.add(seconds(e.taken), kSmooth);
+                mean.add(seconds(e.elapsed), kSmooth);
                 heard_at = now_;
             }
         }
@@ -633,46 +644,49 @@
 
     void on(const AttemptEnded& e) {
         Server* s = find(e.server);
-        if (s != nullptr) take_report(*s, e.report);
+        if (s != nullptr) take_report(*s, e.load_report);
         const auto it = requests_.find(e.id);
         if (it == requests_.end() || !it->second.out || it->second.out->id != e.attempt) return;
         Request& r = it->second;
         const Attempt a = *r.out;
         r.out.reset();
         // What never came to a server left the state waiting.
-        const bool came = e.outcome != Outcome::connect_failed && e.outcome != Outcome::moot;
+        const bool came =
+            e.outcome != AttemptOutcome::connect_failed && e.outcome != AttemptOutcome::not_sent;
         if (answered(e.outcome)) r.untaken_since = now_;
         if (std::exchange(r.state_released, false)) drop_state(r);
         if (s != nullptr) settle(*s, r, a, e);
-        const bool may_have_run = !a.read && came && e.outcome != Outcome::full;
+        const bool may_have_run = !a.read && came && e.outcome != AttemptOutcome::at_capacity;
         if (may_have_run && !r.ran_at && s != nullptr) {
             r.ran_at = s->entry;
             r.ran_sent = a.sent;
         }
-        if (e.finished || r.ended) {
+        if (e.request_finished || r.ended) {
             // A read that ends after its request leaves a state behind: let it go.
-            if (e.outcome == Outcome::read || r.state_at) actions_.emplace_back(Release{e.id});
+            if (e.outcome == AttemptOutcome::prefilled || r.state_at)
+                actions_.emplace_back(ReleaseKvState{e.id});
             forget(e.id);
             return;
         }
-        if (e.outcome == Outcome::read && s != nullptr) {
+        if (e.outcome == AttemptOutcome::prefilled && s != nullptr) {
             r.state_at = e.server;
             s->in_use += 1;
             return;
         }
         r.failed_at.insert(e.server);
-        if (e.outcome == Outcome::full && e.remark == 1) drop_state(r);  // state gone: read anew
-        if (!came && now_ >= state_due(r)) release_state(e.id, r);       // no connection came up in its time
-        if (e.outcome == Outcome::moot || !may_go_again(r) || now_ >= r.deadline) give_up(e.id);
+        if (e.outcome == AttemptOutcome::at_capacity && e.kv_state_missing)
+            drop_state(r);                                          // state gone: read anew
+        if (!came && now_ >= state_due(r)) release_state(e.id, r);  // no connection came up in its time
+        if (e.outcome == AttemptOutcome::not_sent || !may_go_again(r) || now_ >= r.deadline) give_up(e.id);
     }
 
     // Only an answer proves that an attempt was with a server: what was written to one may lie there unread.
-    static bool answered(Outcome outcome) {
-        return outcome == Outcome::ok || outcome == Outcome::read || outcome == Outcome::full ||
-               outcome == Outcome::error;
+    static bool answered(AttemptOutcome outcome) {
+        return outcome == AttemptOutcome::ok || outcome == AttemptOutcome::prefilled ||
+               outcome == AttemptOutcome::at_capacity || outcome == AttemptOutcome::error;
     }
     // The attempt that is out may still stream; for another the prompt is read anew.
-    void on(const StateReleased& e) {
+    void on(const KvStateReleased& e) {
         const auto it = requests_.find(e.id);
         if (it == requests_.end() || !it->second.state_at) return;
         if (it->second.out) it->second.state_released = true;
@@ -689,7 +703,7 @@
             ended_stream_tokens_ += r.tokens();
         }
         switch (e.outcome) {
-            case Outcome::ok:
+            case AttemptOutcome::ok:
                 s.last_answer = now_;
                 passed(s);
                 raise_limit(limited(s), r.tokens());
@@ -700,40 +714,41 @@
                     stream_seconds_[r.cls].add(length, kSmooth);
                 }
                 break;
-            case Outcome::read: {
+            case AttemptOutcome::prefilled: {
                 s.last_answer = now_;
                 passed(s);
-                const double pace = 1e-9 + seconds(e.taken) / (kReadOverhead + a.fresh + a.ahead);
+                const double pace = 1e-9 + seconds(e.elapsed) / (kReadOverhead + a.fresh + a.ahead);
                 if (read_pace_.heard) s.slowness.add(pace / std::max(1e-9, read_pace_.mean), kSmooth);
                 read_pace_.add(pace, kSmooth);
-                read_time_.add(seconds(e.taken), kSmooth);
-                read_part_.add(part_of_aim(r, e.taken), kSmooth);
+                read_time_.add(seconds(e.elapsed), kSmooth);
+                read_part_.add(part_of_aim(r, e.elapsed), kSmooth);
                 break;
             }
-            case Outcome::full:
+            case AttemptOutcome::at_capacity:
                 s.last_answer = now_;
-                if (e.remark != 1 && !a.read) lower_limit(limited(s), a.sent);
+                if (!e.kv_state_missing && !a.read) lower_limit(limited(s), a.sent);
                 take_back_work(s, r);
                 break;
-            case Outcome::error:
+            case AttemptOutcome::error:
                 s.last_answer = now_;
                 s.error_share += kErrorStep * (1 - s.error_share);
                 if (s.error_share > kErrorEject || s.ejection > Duration::zero()) eject(s);
                 break;
-            case Outcome::cancelled:
-            case Outcome::timeout:
-                if (a.started || (e.outcome == Outcome::cancelled && !a.cancelled)) break;
+            case AttemptOutcome::cancelled:
+            case AttemptOutcome::timeout:
+                if (a.started || (e.outcome == AttemptOutcome::cancelled && !a.cancelled)) break;
                 // Usual times follow what is seen, so that a slow fleet is not given up again and again.
-                if (a.read) read_part_.add(part_of_aim(r, e.taken), kSmooth);
-                if (a.read) read_pace_.add(seconds(e.taken) / (kReadOverhead + a.fresh + a.ahead), kSmooth);
-                (a.read ? read_time_ : first_token_).add(seconds(e.taken), kSmooth);
-                if (e.outcome == Outcome::timeout && s.last_answer <= a.sent) eject(s);  // silent ever since
+                if (a.read) read_part_.add(part_of_aim(r, e.elapsed), kSmooth);
+                if (a.read) read_pace_.add(seconds(e.elapsed) / (kReadOverhead + a.fresh + a.ahead), kSmooth);
+                (a.read ? read_time_ : first_token_).add(seconds(e.elapsed), kSmooth);
+                if (e.outcome == AttemptOutcome::timeout && s.last_answer <= a.sent)
+                    eject(s);  // silent ever since
                 break;
-            case Outcome::connect_failed:
+            case AttemptOutcome::connect_failed:
                 take_back_work(s, r);
                 if (!r.ended) eject(s);  // its client went meanwhile: the dial was called off for that
                 break;
-            case Outcome::reset: eject(s); break;
+            case AttemptOutcome::reset: eject(s); break;
             default: break;
         }
     }
@@ -752,7 +767,7 @@
         if (!in_service(s)) return false;
         if (!cold_budget_allows(s, cls)) return false;
         if (s.ejection == Duration::zero()) return true;
-        if (s.trial_open && s_.classes[cls].effect == Effect::repeatable) return true;
+        if (s.trial_open && s_.classes[cls].idempotency == Idempotency::idempotent) return true;
         // All look bad: the least bad, but at a pace, or quick failures soon use up every request's attempts.
         return !counts().has_healthy(s.role) && now_ >= s.last_sent + shortest_aim_ / kTriesEachAim;
     }
@@ -797,7 +812,7 @@
         counts_.changed();
         s.ejection = s.ejection == Duration::zero()
                          ? shortest_aim_
-                         : std::min(2 * s.ejection, std::max(shortest_aim_, s_.cold_for));
+                         : std::min(2 * s.ejection, std::max(shortest_aim_, s_.slow_start_duration));
         s.ejected_until = now_ + s.ejection;
         end_trial(s);
     }
@@ -807,21 +822,21 @@
             Server& s = servers_.at(id);
             if (now_ < s.ejected_until || s.trial_open || s.probing) continue;
             if (!in_service(s) || s.in_use > 0) continue;
-            s.probing = s_.may_probe;
-            s.trial_open = !s_.may_probe;
+            s.probing = s_.health_checks_enabled;
+            s.trial_open = !s_.health_checks_enabled;
             counts_.changed();
-            if (s.probing) actions_.emplace_back(Probe{id});
+            if (s.probing) actions_.emplace_back(HealthCheck{id});
         }
     }
-    void on(const ProbeEnded& e) {
+    void on(const HealthCheckEnded& e) {
         Server* s = find(e.server);
         if (s == nullptr) return;
         s->probing = false;
-        if (e.outcome == Outcome::ok) {
-            take_report(*s, e.report);
+        if (e.outcome == AttemptOutcome::ok) {
+            take_report(*s, e.load_report);
             s->probe_ok_at = now_;
             // An answer this late has queued: then one that fails to come only tells that the server is busy.
-            if (e.taken > s_.dial_timeout / kQuickProbe) probes_queue_ = true;
+            if (e.elapsed > s_.dial_timeout / kQuickProbe) probes_queue_ = true;
             if (s->ejection > Duration::zero()) {
                 s->trial_open = true;
                 counts_.changed();
@@ -848,21 +863,23 @@
     // "once" only if every writer attempt is proved not to have run; "by_key" in its group and window.
     bool may_go_again(const Request& r) const {
         const auto& c = s_.classes[r.cls];
-        if (!r.ran_at || c.effect == Effect::repeatable) return true;
-        return c.effect == Effect::by_key && now_ + s_.tick < r.ran_sent + c.window;
+        if (!r.ran_at || c.idempotency == Idempotency::idempotent) return true;
+        return c.idempotency == Idempotency::idempotent_by_key &&
+               now_ + s_.tick < r.ran_sent + c.deduplication_window;
     }
     bool group_allows(const Server& s, const Request& r) const {
         const auto& c = s_.classes[r.cls];
-        if (!r.ran_at || c.effect == Effect::repeatable) return true;
+        if (!r.ran_at || c.idempotency == Idempotency::idempotent) return true;
         if (!may_go_again(r)) return false;
-        if (c.group == Group::zone) return s.entry.zone == r.ran_at->zone;
-        if (c.group == Group::cell) return s.entry.cell == r.ran_at->cell;
+        if (c.deduplication_scope == DeduplicationScope::zone) return s.entry.zone == r.ran_at->zone;
+        if (c.deduplication_scope == DeduplicationScope::cell) return s.entry.cell == r.ran_at->cell;
         return true;
     }
     bool may_refuse(const Request& r) const {
         const auto& c = s_.classes[r.cls];
-        if (!r.ran_at || c.effect == Effect::repeatable) return true;
-        return c.effect == Effect::by_key && c.group == Group::all;
+        if (!r.ran_at || c.idempotency == Idempotency::idempotent) return true;
+        return c.idempotency == Idempotency::idempotent_by_key &&
+               c.deduplication_scope == DeduplicationScope::all;
     }
 
     // A server silent since an attempt was sent, for longer than is usual, is ejected and the attempt called
@@ -871,7 +888,7 @@
     // Lfcc8ee).
     void review_silent() {
         for (auto& [id, r] : requests_) {
-            if (r.ended || !r.out || r.out->started || r.out->cancelled || !s_.may_cancel) continue;
+            if (r.ended || !r.out || r.out->started || r.out->cancelled || !s_.cancellation_enabled) continue;
             if (r.out->patience == Duration::zero()) continue;
             if (jammed() && r.out->read && now_ > r.aim && may_refuse(r)) {
                 r.out->cancelled = true;
@@ -882,12 +899,12 @@
             const Time since = s == nullptr ? r.out->sent : std::max(r.out->sent, s->last_answer);
             // Seeing little, a probe asks. A server that answers it is busy and waited for longer, though not
             // for ever: it may answer probes and lose requests.
-            const bool ask = s != nullptr && s_.may_probe && blind();
+            const bool ask = s != nullptr && s_.health_checks_enabled && blind();
             if (ask && !s->probing && s->asked_at < since &&
                 now_ >= since + r.out->patience / kTimeoutFactor) {
                 s->probing = true;
                 s->asked_at = now_;
-                actions_.emplace_back(Probe{s->entry.id});
+                actions_.emplace_back(HealthCheck{s->entry.id});
             }
             const bool busy = ask && s->probe_ok_at > since;
             if (now_ < since + (busy ? kBusyPatience : 1) * r.out->patience &&
@@ -902,17 +919,17 @@
     // ================= the end =================
     void give_up(RequestId id) {
         auto& r = requests_.at(id);
-        if (may_refuse(r) && now_ < r.deadline) actions_.emplace_back(Refuse{id, s_.max_retry_after / 2});
+        if (may_refuse(r) && now_ < r.deadline) actions_.emplace_back(Reject{id, s_.max_retry_after / 2});
         else actions_.emplace_back(Fail{id});
         release_state(id, r);
         forget(id);
     }
-    void on(const ClientGone& e) {
+    void on(const ClientDisconnected& e) {
         const auto it = requests_.find(e.id);
         if (it == requests_.end()) return;
         Request& r = it->second;
         r.ended = true;
-        if (r.out && !r.out->started && s_.may_cancel && !r.out->cancelled) {
+        if (r.out && !r.out->started && s_.cancellation_enabled && !r.out->cancelled) {
             actions_.emplace_back(CancelAttempt{e.id, r.out->id});
             r.out->cancelled = true;
         }
@@ -925,19 +942,19 @@
     }
 
     // ================= the list of servers =================
-    void on(const ListChanged& e) {
-        if (e.scope == ListScope::lost) {
-            if (s_.must_ask_for_list) actions_.emplace_back(FollowList{true});
+    void on(const EndpointUpdate& e) {
+        if (e.kind == EndpointUpdateKind::watch_lost) {
+            if (s_.endpoint_watch_required) actions_.emplace_back(WatchEndpoints{true});
             return;
         }
-        if (e.scope != ListScope::changes)
+        if (e.kind != EndpointUpdateKind::delta)
             for (auto& [id, s] : servers_) s.listed = false;
-        for (const auto& entry : e.entries) {
+        for (const auto& entry : e.endpoints) {
             auto [it, fresh] = servers_.try_emplace(entry.id);
             Server& s = it->second;
-            const bool restarted = !fresh && s.entry.born != entry.born;
+            const bool restarted = !fresh && s.entry.started_at != entry.started_at;
             s.entry = entry;
-            s.listed = entry.state != ServerState::removed;
+            s.listed = entry.state != EndpointState::removed;
             if (!fresh && !restarted) continue;
             const auto kind = std::find_if(s_.kinds.begin(), s_.kinds.end(),
                                            [&](const auto& k) { return k.name == entry.kind; });
@@ -984,11 +1001,11 @@
     void on(const TimerFired& e) {
         if (e.id == wake_id_) wake_at_.reset();
     }
-    void on(const PrefixesTold& e) {
-        if (Server* s = find(e.server)) s->prefixes_told = e.told;
+    void on(const CacheReportingChanged& e) {
+        if (Server* s = find(e.server)) s->prefixes_told = e.reporting;
     }
-    void on(const LeaseAnswer&) {}  // no lease is requested
-    void on(const PeerMessage&) {}  // none is sent
+    void on(const ReservationResult&) {}  // no lease is requested
+    void on(const PeerMessage&) {}        // none is sent
 
     // One timer, for the earliest thing that time alone can change.
     void set_wake() {
@@ -1005,7 +1022,7 @@
         if (!next || (wake_at_ && *wake_at_ <= *next && *wake_at_ > now_)) return;
         wake_at_ = std::max(*next, now_ + s_.tick);
         wake_id_ = {wake_id_.value + 1};
-        actions_.emplace_back(Wake{*wake_at_, wake_id_});
+        actions_.emplace_back(SetTimer{*wake_at_, wake_id_});
     }
 
     Settings s_;
@@ -1051,11 +1068,12 @@
     TimerId wake_id_{};
 };
 
-Brain::Brain(const Settings& settings, std::uint64_t seed) : impl_(std::make_unique<Impl>(settings, seed)) {}
-Brain::~Brain() = default;
-Brain::Brain(Brain&&) noexcept = default;
-Brain& Brain::operator=(Brain&&) noexcept = default;
-std::vector<Action> Brain::step(Time now, std::span<const Event> events) { return impl_->step(now, events); }
-std::size_t Brain::tracked_requests() const { return impl_->tracked(); }
+Router::Router(const Settings& settings, std::uint64_t seed)
+    : impl_(std::make_unique<Impl>(settings, seed)) {}
+Router::~Router() = default;
+Router::Router(Router&&) noexcept = default;
+Router& Router::operator=(Router&&) noexcept = default;
+std::vector<Action> Router::step(Time now, std::span<const Event> events) { return impl_->step(now, events); }
+std::size_t Router::tracked_requests() const { return impl_->tracked(); }
 
 }  // namespace chalksail
--- a/src/interface/settings.cpp
+++ b/src/policy/settings.cpp
@@ -14,7 +14,7 @@
     require(settings.tick > Duration::zero(), "tick must be above 0");
     require(settings.max_attempts >= 1, "fewer than one attempt allowed");
     for (const auto& c : settings.classes)
-        require(c.aim > Duration::zero() && c.deadline >= c.aim,
+        require(c.first_token_objective > Duration::zero() && c.deadline >= c.first_token_objective,
                 "class " + c.name + ": aim must be above 0 and within the deadline");
 }
 
--- a/src/policy/state.hpp
+++ b/src/policy/state.hpp
@@ -35,7 +35,7 @@
 };
 
 struct Server {
-    ServerEntry entry;
+    Endpoint entry;
     Role role = Role::mixed;
     bool listed = true;
     double stream_tokens = 0;  // writer: prompts and predicted outputs of our attempts and streams
@@ -68,13 +68,15 @@
     bool prefixes_told = false;  // its kept text comes with each request: no guess
 };
 
-[[nodiscard]] inline bool in_service(const Server& s) { return s.listed && s.entry.state == ServerState::up; }
+[[nodiscard]] inline bool in_service(const Server& s) {
+    return s.listed && s.entry.state == EndpointState::up;
+}
 // Kept out after failures, and not yet let back on trial.
 [[nodiscard]] inline bool is_ejected(const Server& s) {
     return s.ejection > Duration::zero() && !s.trial_open;
 }
 [[nodiscard]] inline bool is_cold(const Server& s, Time now, Duration cold_for) {
-    return s.entry.born != Time{} && now - s.entry.born < cold_for;
+    return s.entry.started_at != Time{} && now - s.entry.started_at < cold_for;
 }
 
 // What the list tells of the servers in service, in all or in one cell.
@@ -105,7 +107,7 @@
 };
 
 struct Request {
-    Arrived in;
+    RequestArrived in;
     std::string prefix_key, session_key;  // of its text, in what a reader keeps
     std::size_t cls = 0;
     Time arrived{};
@@ -121,7 +123,7 @@
     int sends = 0;
     std::set<ServerId> failed_at;
     // Once an attempt may have run: where and when the first such was sent.
-    std::optional<ServerEntry> ran_at;
+    std::optional<Endpoint> ran_at;
     Time ran_sent{};
     [[nodiscard]] double tokens() const { return in.prompt_tokens + output; }
 };
--- a/src/prefix/knowledge.cpp
+++ b/src/prefix/knowledge.cpp
@@ -110,8 +110,8 @@
     return *e.feed.resumed(snapshot->next, snapshot->last_ts).replay_from;
 }
 
-std::vector<KnownPrefix> Knowledge::claims(std::string_view space, std::string_view text) const {
-    std::vector<KnownPrefix> out;
+std::vector<CachedPrefix> Knowledge::claims(std::string_view space, std::string_view text) const {
+    std::vector<CachedPrefix> out;
     for (const auto& h : index_.held(space, text))
         out.push_back({{by_engine_[h.engine]}, static_cast<double>(h.tokens)});
     std::sort(out.begin(), out.end(), [](const auto& a, const auto& b) { return a.server < b.server; });
@@ -159,8 +159,8 @@
     if (e.trust > kTrustBack) e.believed = true;
 }
 
-std::vector<PrefixesTold> Knowledge::changes() {
-    std::vector<PrefixesTold> out = std::exchange(gone_, {});
+std::vector<CacheReportingChanged> Knowledge::changes() {
+    std::vector<CacheReportingChanged> out = std::exchange(gone_, {});
     for (auto& [name, e] : servers_) {
         const bool now = e.believed && e.feed.known();
         if (now == e.told_before) continue;
--- a/src/prefix/knowledge.hpp
+++ b/src/prefix/knowledge.hpp
@@ -47,7 +47,7 @@
                                                                    std::string_view snapshot);
 
     // Tokens of this text that each server says it holds, by server; also of those not believed.
-    [[nodiscard]] std::vector<KnownPrefix> claims(std::string_view space, std::string_view text) const;
+    [[nodiscard]] std::vector<CachedPrefix> claims(std::string_view space, std::string_view text) const;
     // Is its word to be used, and its silence taken for nothing held?
     [[nodiscard]] bool told(const std::string& server) const;
     // How a read went at a server, of whose prompt it had claimed to hold some tokens, or none.
@@ -59,7 +59,7 @@
     };
     void observed(const std::string& server, const ReadSeen& read);
     // Servers whose told() is not what it was when this was last asked.
-    [[nodiscard]] std::vector<PrefixesTold> changes();
+    [[nodiscard]] std::vector<CacheReportingChanged> changes();
 
     struct Counts {
         std::uint64_t messages = 0, bad_messages = 0, unknown_events = 0;
@@ -95,7 +95,7 @@
     Index index_;
     std::map<std::string, Entry> servers_;
     std::vector<std::string> by_engine_;  // names, by their number in the index
-    std::vector<PrefixesTold> gone_;
+    std::vector<CacheReportingChanged> gone_;
     Pace pace_;  // of all
     Counts counts_;
     std::string last_error_;
--- a/tests/core/driver.hpp
+++ b/tests/core/driver.hpp
@@ -29,13 +29,13 @@
     return std::move(*out);
 }
 
-inline ListedServer listed(const std::string& name, const std::string& kind,
-                           ServerState state = ServerState::up) {
-    ListedServer s;
-    s.entry.id = {name};
-    s.entry.kind = kind;
-    s.entry.zone = "north";
-    s.entry.state = state;
+inline membership::EndpointConfig listed(const std::string& name, const std::string& kind,
+                                         EndpointState state = EndpointState::up) {
+    membership::EndpointConfig s;
+    s.endpoint.id = {name};
+    s.endpoint.kind = kind;
+    s.endpoint.zone = "north";
+    s.endpoint.state = state;
     s.address = {"127.0.0.1", 9};
     return s;
 }
@@ -60,14 +60,14 @@
         for (auto& o : edge.step(now, std::move(inputs))) {
             if (auto* call = std::get_if<Call>(&o)) calls.push_back(*call);
             else if (auto* abort = std::get_if<CallAbort>(&o)) aborted.push_back(abort->call);
-            else if (auto* reply = std::get_if<Reply>(&o)) replies.push_back(*reply);
+            else if (auto* reply = std::get_if<SendResponse>(&o)) replies.push_back(*reply);
             else if (auto* bytes = std::get_if<StreamBytes>(&o)) streamed += bytes->bytes;
             else if (std::get_if<StreamBegin>(&o) != nullptr) streams_begun += 1;
             else if (std::get_if<StreamEnd>(&o) != nullptr) streams_ended += 1;
-            else if (std::get_if<StreamCut>(&o) != nullptr) streams_cut += 1;
-            else if (auto* flow = std::get_if<CallFlow>(&o)) flows.push_back(*flow);
+            else if (std::get_if<AbortStream>(&o) != nullptr) streams_cut += 1;
+            else if (auto* flow = std::get_if<SetCallPaused>(&o)) flows.push_back(*flow);
             else if (auto* gone = std::get_if<ServerForgotten>(&o)) forgotten.push_back(gone->server);
-            else if (auto* note = std::get_if<Note>(&o)) {
+            else if (auto* note = std::get_if<EmitRecord>(&o)) {
                 if (auto* r = std::get_if<observe::RequestRecord>(&note->record)) requests.push_back(*r);
                 if (auto* a = std::get_if<observe::AttemptRecord>(&note->record)) attempts.push_back(*a);
                 if (auto* g = std::get_if<observe::GuardRecord>(&note->record)) guards.push_back(*g);
@@ -85,8 +85,9 @@
         now = std::max(now, until);
         give({});
     }
-    void list(std::vector<ListedServer> servers_listed, ListScope scope = ListScope::complete) {
-        give({ServerList{scope, std::move(servers_listed)}});
+    void list(std::vector<membership::EndpointConfig> servers_listed,
+              EndpointUpdateKind scope = EndpointUpdateKind::snapshot) {
+        give({membership::EndpointList{scope, std::move(servers_listed)}});
     }
     void usual_list() {
         list(
@@ -142,8 +143,8 @@
     Edge edge;
     std::vector<Call> calls;
     std::vector<CallId> aborted;
-    std::vector<Reply> replies;
-    std::vector<CallFlow> flows;
+    std::vector<SendResponse> replies;
+    std::vector<SetCallPaused> flows;
     std::vector<observe::RequestRecord> requests;
     std::vector<observe::AttemptRecord> attempts;
     std::vector<observe::GuardRecord> guards;
--- a/tests/core/edge_test.cpp
+++ b/tests/core/edge_test.cpp
@@ -47,7 +47,7 @@
     EXPECT_EQ(d.streamed,
               chunk("yes") + chunk(" now") + chat::format_event("[DONE]"));  // usage was not asked for
     ASSERT_EQ(d.requests.size(), 1U);
-    EXPECT_EQ(d.requests[0].fate, observe::Fate::served);
+    EXPECT_EQ(d.requests[0].fate, observe::Termination::served);
     EXPECT_EQ(d.requests[0].prompt_tokens_told, 40);
     EXPECT_TRUE(d.releases().empty());  // the writer has fetched the state
     expect_empty(d);
@@ -126,8 +126,8 @@
     d.usual_list();
     d.ask();
     const auto read = d.sent()[0].call;
-    d.list({listed("w1", "writer", ServerState::draining), listed("w2", "writer", ServerState::draining)},
-           ListScope::changes);
+    d.list({listed("w1", "writer", EndpointState::draining), listed("w2", "writer", EndpointState::draining)},
+           EndpointUpdateKind::delta);
     d.answer_read(read);
     ASSERT_EQ(d.sent().size(), 1U);
     EXPECT_EQ(d.edge.gauges().states_held, 1U);
@@ -147,7 +147,7 @@
     EXPECT_TRUE(d.was_aborted(write));
     d.body(write, chunk("late"));  // what was on the way
     EXPECT_EQ(d.streamed, chunk("yes"));
-    EXPECT_EQ(d.requests.back().fate, observe::Fate::client_gone);
+    EXPECT_EQ(d.requests.back().fate, observe::Termination::client_gone);
     expect_empty(d);
 }
 
@@ -165,7 +165,7 @@
     EXPECT_EQ(d.streams_ended, 1);
     d.pass(5s);
     EXPECT_EQ(d.sent().size(), 2U);  // a started stream is not sent again
-    EXPECT_EQ(d.requests.back().fate, observe::Fate::failed);
+    EXPECT_EQ(d.requests.back().fate, observe::Termination::failed);
     expect_empty(d);
 }
 
@@ -407,7 +407,7 @@
     d.give({ClientBacklog{{1}, false}});
     EXPECT_FALSE(d.flows.back().paused);
     d.body(write, chat::format_event("[DONE]"));
-    EXPECT_EQ(d.requests.back().fate, observe::Fate::served);
+    EXPECT_EQ(d.requests.back().fate, observe::Termination::served);
 }
 
 // ---- the list ----
@@ -417,7 +417,7 @@
     d.usual_list();
     d.ask();
     const Call read = d.sent()[0];
-    d.list({listed(read.server, "reader", ServerState::draining)}, ListScope::changes);
+    d.list({listed(read.server, "reader", EndpointState::draining)}, EndpointUpdateKind::delta);
     EXPECT_TRUE(d.was_aborted(read.call));
     ASSERT_EQ(d.sent().size(), 2U);
     EXPECT_NE(d.sent()[1].server, read.server);
@@ -430,7 +430,7 @@
     d.ask();
     const Call read = d.sent()[0];
     d.give({CallSent{read.call}});
-    d.list({listed(read.server, "reader", ServerState::draining)}, ListScope::changes);
+    d.list({listed(read.server, "reader", EndpointState::draining)}, EndpointUpdateKind::delta);
     EXPECT_FALSE(d.was_aborted(read.call));
     d.answer_read(read.call);
     EXPECT_EQ(d.sent().size(), 2U);
@@ -443,8 +443,9 @@
     d.usual_list();
     const auto write = d.to_write("once");
     const std::string server = d.sent().back().server;
-    d.give(
-        {ServerList{ListScope::changes, {listed(server, "writer", ServerState::draining)}}, CallSent{write}});
+    d.give({membership::EndpointList{EndpointUpdateKind::delta,
+                                     {listed(server, "writer", EndpointState::draining)}},
+            CallSent{write}});
     EXPECT_FALSE(d.was_aborted(write));
     d.give({CallFailed{write, engine::Ending::closed, ""}});
     d.pass(5s);
@@ -458,8 +459,8 @@
     d.ask();
     const Call read = d.sent()[0];
     auto again = listed(read.server, "reader");
-    again.entry.born = d.now;
-    d.list({again}, ListScope::changes);
+    again.endpoint.started_at = d.now;
+    d.list({again}, EndpointUpdateKind::delta);
     EXPECT_TRUE(d.was_aborted(read.call));
 }
 
@@ -496,7 +497,7 @@
     EXPECT_EQ(d.replies[0].headers.get("connection"), "close");
     d.head(write);
     d.body(write, chunk("a") + chat::format_event("[DONE]"));
-    EXPECT_EQ(d.requests.back().fate, observe::Fate::served);
+    EXPECT_EQ(d.requests.back().fate, observe::Termination::served);
 }
 
 // An engine without the let-go call is asked once, counted and noted.
--- a/tests/core/last_heard_test.cpp
+++ b/tests/core/last_activity_test.cpp
@@ -1,4 +1,4 @@
-#include "core/last_heard.hpp"
+#include "core/last_activity.hpp"
 
 #include <gtest/gtest.h>
 
@@ -10,8 +10,8 @@
 constexpr Time kNow{1000s};
 const auto kAny = [](const std::string&) { return true; };
 
-TEST(LastHeard, TheOneThatSpokeLastComesFirst) {
-    LastHeard heard;
+TEST(LastActivity, TheOneThatSpokeLastComesFirst) {
+    LastActivity heard;
     EXPECT_EQ(heard.latest(kAny), nullptr);
     heard.spoke("a", kNow);
     heard.spoke("b", kNow + 1s);
@@ -26,8 +26,8 @@
 }
 
 // To the millisecond: a release goes to the server whose answer has just come.
-TEST(LastHeard, EachWordCounts) {
-    LastHeard heard;
+TEST(LastActivity, EachWordCounts) {
+    LastActivity heard;
     heard.spoke("a", kNow);
     heard.spoke("b", kNow + 1ms);
     heard.spoke("a", kNow + 2ms);
--- a/tests/core/platform_edge_test.cpp
+++ b/tests/core/platform_edge_test.cpp
@@ -189,14 +189,14 @@
 TEST(PlatformEdge, ServerIsForgottenOnceNothingOfItIsOut) {
     Platform d;
     const auto write = d.to_write();
-    auto gone = listed(d.sent().back().server, "writer", ServerState::removed);
+    auto gone = listed(d.sent().back().server, "writer", EndpointState::removed);
     d.written(write);
-    d.list({gone}, ListScope::changes);
+    d.list({gone}, EndpointUpdateKind::delta);
     EXPECT_TRUE(d.forgotten.empty());  // its stream may still come
     d.give({CallHead{write, 200, {}}, CallBody{write, kEvent + kDoneEvent}, CallDone{write}});
     EXPECT_EQ(d.streams_ended, 1);
-    d.list({listed("r9", "reader")}, ListScope::changes);
-    EXPECT_EQ(d.forgotten, std::vector{gone.entry.id.value});
+    d.list({listed("r9", "reader")}, EndpointUpdateKind::delta);
+    EXPECT_EQ(d.forgotten, std::vector{gone.endpoint.id.value});
 }
 
 TEST(PlatformEdge, ReadyUntilItGoesAway) {
@@ -279,10 +279,10 @@
     d.list({listed("r1", "reader"), listed("w1", "writer")});
     for (int i = 0; i < 200; ++i) {
         const std::vector<std::string> next = {"r-" + std::to_string(i), "w-" + std::to_string(i)};
-        d.list(
-            {listed(now[0], "reader", ServerState::removed), listed(now[1], "writer", ServerState::removed),
-             listed(next[0], "reader"), listed(next[1], "writer")},
-            ListScope::changes);
+        d.list({listed(now[0], "reader", EndpointState::removed),
+                listed(now[1], "writer", EndpointState::removed), listed(next[0], "reader"),
+                listed(next[1], "writer")},
+               EndpointUpdateKind::delta);
         now = next;
         d.calls.clear();
         d.answer(d.to_write(), 200, kEvent + kDoneEvent);
@@ -300,10 +300,10 @@
     for (const bool cold : {true, false}) {
         Platform d;
         auto writer = listed("w2", "writer");
-        if (cold) writer.entry.born = d.now - 100ms;
-        d.list({listed("r1", "reader"), listed("r2", "reader", ServerState::draining),
-                listed("w1", "writer", ServerState::draining), writer},
-               ListScope::recalled);
+        if (cold) writer.endpoint.started_at = d.now - 100ms;
+        d.list({listed("r1", "reader"), listed("r2", "reader", EndpointState::draining),
+                listed("w1", "writer", EndpointState::draining), writer},
+               EndpointUpdateKind::cached_snapshot);
         for (std::uint64_t i = 0; i < 30; ++i) d.get(told::post("id" + std::to_string(i)), i + 1);
         for (std::size_t i = 0; i < d.sent().size(); ++i)
             if (d.sent()[i].server == "r1") d.answer(d.sent()[i].call, 202);
@@ -462,7 +462,7 @@
 // does not wait for its end.
 TEST(PlatformEdge, StateOfAClientThatHasGoneIsReleasedBesideItsWrite) {
     auto settings = released_within(500ms);
-    settings.module.may_cancel = false;
+    settings.module.cancellation_enabled = false;
     Platform d(settings);
     const auto write = d.to_write();
     d.written(write);
@@ -479,8 +479,8 @@
 // asks twice as many, so that a dozen servers are asked before the time is over.
 TEST(PlatformEdge, ReleaseAsksMoreServersWithEachSilentOne) {
     Platform d(released_within(500ms));
-    std::vector<ListedServer> all = {listed("r1", "reader"), listed("w1", "writer")};
-    for (int i = 0; i < 20; ++i) all.push_back(listed("x" + std::to_string(i), "reader", ServerState::up));
+    std::vector<membership::EndpointConfig> all = {listed("r1", "reader"), listed("w1", "writer")};
+    for (int i = 0; i < 20; ++i) all.push_back(listed("x" + std::to_string(i), "reader", EndpointState::up));
     d.list(all);
     const auto write = d.to_write("order");
     d.written(write);
@@ -500,7 +500,7 @@
 // more and its server never answers.
 TEST(PlatformEdge, AttemptOfAClientThatHasGoneEndsAtTheDeadline) {
     auto settings = released_within(500ms);
-    settings.module.may_cancel = false;
+    settings.module.cancellation_enabled = false;
     Platform d(settings);
     d.get(told::post("9b1f"));
     const auto read = d.sent().back().call;
@@ -546,7 +546,7 @@
 // Guards against an attempt that goes out for a client that has gone, where the module may not call any off.
 TEST(PlatformEdge, NoAttemptBeginsForAClientThatHasGone) {
     auto settings = platform_settings(platform::parse_configuration(told::configuration_text(), {}).value());
-    settings.module.may_cancel = false;
+    settings.module.cancellation_enabled = false;
     for (const bool written : {false, true}) {
         Platform d(settings);
         d.get(told::post("9b1f"));
@@ -612,7 +612,7 @@
 
 // ---- actions that the module may take ----
 
-class Scripted : public Decider {
+class Scripted : public RoutingPolicy {
 public:
     std::vector<Action> step(Time, std::span<const Event> events) override {
         for (const auto& e : events) seen.push_back(e);
@@ -627,35 +627,36 @@
 struct CalledOff {
     explicit CalledOff(bool written = true) {
         auto scripted = std::make_unique<Scripted>();
-        brain = scripted.get();
+        router = scripted.get();
         edge = std::make_unique<Edge>(
             platform_settings(platform::parse_configuration(told::configuration_text(), {}).value()),
             std::move(scripted));
-        give({ServerList{ListScope::complete, {listed("r1", "reader"), listed("w1", "writer")}}});
+        give({membership::EndpointList{EndpointUpdateKind::snapshot,
+                                       {listed("r1", "reader"), listed("w1", "writer")}}});
         http::RequestReader reader({});
         const auto text = told::post("9b1f", "order");
         std::string_view rest = text;
-        brain->next = {Send{{1}, {"r1"}, {}}};
+        router->next = {Send{{1}, {"r1"}, {}}};
         give({ClientRequest{{1}, std::get<http::Request>(reader.feed(rest))}});
         if (written) give({CallSent{call}, CallWritten{call}});
-        brain->seen.clear();
-        brain->next = {CancelAttempt{{1}, {0}}};
-        give({ServerList{ListScope::changes, {}}});  // anything: the module acts
+        router->seen.clear();
+        router->next = {CancelAttempt{{1}, {0}}};
+        give({membership::EndpointList{EndpointUpdateKind::delta, {}}});  // anything: the module acts
     }
     void give(std::vector<Input> inputs) {
         for (const auto& o : edge->step(now, std::move(inputs))) {
             if (const auto* c = std::get_if<Call>(&o)) call = c->call;
-            sending_ended += std::holds_alternative<CallSendingEnds>(o) ? 1 : 0;
+            sending_ended += std::holds_alternative<HalfCloseCall>(o) ? 1 : 0;
             aborted += std::holds_alternative<CallAbort>(o) ? 1 : 0;
         }
     }
-    [[nodiscard]] std::vector<Outcome> outcomes() const {
-        std::vector<Outcome> out;
-        for (const auto& e : brain->seen)
+    [[nodiscard]] std::vector<AttemptOutcome> outcomes() const {
+        std::vector<AttemptOutcome> out;
+        for (const auto& e : router->seen)
             if (const auto* ended = std::get_if<AttemptEnded>(&e)) out.push_back(ended->outcome);
         return out;
     }
-    Scripted* brain = nullptr;
+    Scripted* router = nullptr;
     std::unique_ptr<Edge> edge;
     Time now{1000s};
     CallId call;
@@ -672,14 +673,14 @@
     EXPECT_EQ(d.aborted, 0);
     EXPECT_TRUE(d.outcomes().empty());  // not over: nothing is sent in its place
     d.give({CallHead{d.call, 202, {}}, CallBody{d.call, R"({"cached_tokens":4})"}, CallDone{d.call}});
-    EXPECT_EQ(d.outcomes(), std::vector<Outcome>{Outcome::read});
+    EXPECT_EQ(d.outcomes(), std::vector<AttemptOutcome>{AttemptOutcome::prefilled});
     EXPECT_EQ(d.edge->gauges().states_held, 1U);
 }
 
 TEST(PlatformEdge, ServersCloseBehindACallOffEndsIt) {
     CalledOff d;
     d.give({CallFailed{d.call, engine::Ending::closed, ""}});
-    EXPECT_EQ(d.outcomes(), std::vector<Outcome>{Outcome::cancelled});
+    EXPECT_EQ(d.outcomes(), std::vector<AttemptOutcome>{AttemptOutcome::cancelled});
     EXPECT_EQ(d.aborted, 0);
 }
 
@@ -689,7 +690,7 @@
     EXPECT_LE(*d.edge->next_wake() - d.now, 20ms);
     d.now = *d.edge->next_wake();
     d.give({});
-    EXPECT_EQ(d.outcomes(), std::vector<Outcome>{Outcome::cancelled});
+    EXPECT_EQ(d.outcomes(), std::vector<AttemptOutcome>{AttemptOutcome::cancelled});
     EXPECT_EQ(d.aborted, 1);
     d.now += 10s;
     d.give({});
@@ -700,7 +701,7 @@
     CalledOff d(false);
     EXPECT_EQ(d.sending_ended, 0);
     EXPECT_EQ(d.aborted, 1);
-    EXPECT_EQ(d.outcomes(), std::vector<Outcome>{Outcome::connect_failed});
+    EXPECT_EQ(d.outcomes(), std::vector<AttemptOutcome>{AttemptOutcome::connect_failed});
 }
 
 // Its client goes while the answer is waited for: what was read is released.
@@ -715,7 +716,7 @@
 
 TEST(PlatformEdge, PlaceIsAskedForToldAndLetGo) {
     auto scripted = std::make_unique<Scripted>();
-    Scripted& brain = *scripted;
+    Scripted& router = *scripted;
     Platform d;
     Edge edge(platform_settings(platform::parse_configuration(told::configuration_text(), {}).value()),
               std::move(scripted));
@@ -726,22 +727,23 @@
         return out;
     };
     Time now{1000s};
-    (void)edge.step(now, {ServerList{ListScope::complete, {listed("r1", "reader"), listed("w1", "writer")}}});
+    (void)edge.step(now, {membership::EndpointList{EndpointUpdateKind::snapshot,
+                                                   {listed("r1", "reader"), listed("w1", "writer")}}});
     http::RequestReader reader({});
     const auto text = told::post("9b1f");
     std::string_view rest = text;
-    brain.next = {Send{{1}, {"r1"}, {}}, RequestLease{{1}, {"w1"}}};
+    router.next = {Send{{1}, {"r1"}, {}}, Reserve{{1}, {"w1"}}};
     const auto out =
         calls_of(edge.step(now, {ClientRequest{{1}, std::get<http::Request>(reader.feed(rest))}}));
     ASSERT_EQ(out.size(), 2U);
     EXPECT_EQ(out[1].kind, CallKind::lease);
     EXPECT_EQ(out[1].method, "POST");
     EXPECT_EQ(out[1].target, "/kv/leases/9b1f");
-    brain.next = {Fail{{1}}};
+    router.next = {Fail{{1}}};
     (void)edge.step(now, {CallSent{out[1].call}, CallWritten{out[1].call}, CallHead{out[1].call, 200, {}},
                           CallDone{out[1].call}});
-    ASSERT_TRUE(std::holds_alternative<LeaseAnswer>(brain.seen.back()));
-    EXPECT_TRUE(std::get<LeaseAnswer>(brain.seen.back()).held);
+    ASSERT_TRUE(std::holds_alternative<ReservationResult>(router.seen.back()));
+    EXPECT_TRUE(std::get<ReservationResult>(router.seen.back()).reserved);
     // The read ends without a state, the request is over: the place goes.
     const auto last = calls_of(edge.step(now, {CallFailed{out[0].call, engine::Ending::dial_failed, ""}}));
     ASSERT_EQ(last.size(), 1U);
--- a/tests/core/prefix_test.cpp
+++ b/tests/core/prefix_test.cpp
@@ -16,11 +16,11 @@
     s.cache_events.replay_timeout = 500ms;
     return s;
 }
-ListedServer publishes(const std::string& name, std::uint16_t port = 11, Time born = {}) {
+membership::EndpointConfig publishes(const std::string& name, std::uint16_t port = 11, Time born = {}) {
     auto s = listed(name, "reader");
     s.events = Address{"127.0.0.1", port};
     s.replay = Address{"127.0.0.1", static_cast<std::uint16_t>(port + 1)};
-    s.entry.born = born;
+    s.endpoint.started_at = born;
     return s;
 }
 CacheMessage holds(const std::string& server, std::uint64_t sequence, double ts, bool replayed = false) {
@@ -51,8 +51,9 @@
 
 TEST(Prefix, ListSaysWhoIsHeard) {
     Edge edge(with_events());
-    const auto list = [&](std::vector<ListedServer> servers) {
-        return edge.step(Time(1000s), {ServerList{ListScope::complete, std::move(servers)}});
+    const auto list = [&](std::vector<membership::EndpointConfig> servers) {
+        return edge.step(Time(1000s),
+                         {membership::EndpointList{EndpointUpdateKind::snapshot, std::move(servers)}});
     };
     auto out = list({publishes("r1"), listed("r2", "reader"), listed("w1", "writer")});
     ASSERT_EQ(of<CacheFollow>(out).size(), 1U);
@@ -72,8 +73,8 @@
     {
         Edge before(s);
         (void)before.step(Time(1000s), {CacheSnapshots{}});
-        (void)before.step(Time(1000s),
-                          {ServerList{ListScope::complete, {publishes("r1"), publishes("r2", 21)}}});
+        (void)before.step(Time(1000s), {membership::EndpointList{EndpointUpdateKind::snapshot,
+                                                                 {publishes("r1"), publishes("r2", 21)}}});
         (void)before.step(Time(1001s), {holds("r1", 0, 1)});
         // Each in its turn, five seconds apart; of the one that has said nothing there is none.
         for (Time at(1002s); at < Time(1030s); at = std::max(at + 1s, *before.next_wake()))
@@ -83,8 +84,9 @@
     Edge edge(s);
     kept["r2"] = "not one of ours";
     (void)edge.step(Time(2000s), {CacheSnapshots{kept}});
-    const auto out =
-        edge.step(Time(2000s), {ServerList{ListScope::complete, {publishes("r1"), publishes("r2", 21)}}});
+    const auto out = edge.step(
+        Time(2000s),
+        {membership::EndpointList{EndpointUpdateKind::snapshot, {publishes("r1"), publishes("r2", 21)}}});
     ASSERT_EQ(of<CacheReplay>(out).size(), 1U);
     EXPECT_EQ(of<CacheReplay>(out)[0].server, "r1");
     EXPECT_EQ(of<CacheReplay>(out)[0].from, 0U);
@@ -95,7 +97,8 @@
     (void)edge.step(Time(2000s), {holds("r1", 0, 1, true), CacheReplayEnded{"r1"}});
     EXPECT_EQ(edge.gauges().prefixes.told, 1U);
     // Off the list: what is stored of it goes too.
-    EXPECT_EQ(of<CacheDrop>(edge.step(Time(2001s), {ServerList{ListScope::complete, {publishes("r2", 21)}}}))
+    EXPECT_EQ(of<CacheDrop>(edge.step(Time(2001s), {membership::EndpointList{EndpointUpdateKind::snapshot,
+                                                                             {publishes("r2", 21)}}}))
                   .size(),
               1U);
 }
@@ -105,12 +108,13 @@
     auto s = with_events();
     Edge before(s), edge(s);
     (void)before.step(Time(1000s), {CacheSnapshots{}});
-    (void)before.step(Time(1000s), {ServerList{ListScope::complete, {publishes("r1")}}});
+    (void)before.step(Time(1000s),
+                      {membership::EndpointList{EndpointUpdateKind::snapshot, {publishes("r1")}}});
     (void)before.step(Time(1001s), {holds("r1", 0, 1)});
     const auto keep = of<CacheKeep>(before.step(*before.next_wake(), {}));
     ASSERT_EQ(keep.size(), 1U);
     (void)edge.step(Time(1000s), {CacheSnapshots{{{"r1", keep[0].snapshot}}}});
-    (void)edge.step(Time(1000s), {ServerList{ListScope::complete, {publishes("r1")}}});
+    (void)edge.step(Time(1000s), {membership::EndpointList{EndpointUpdateKind::snapshot, {publishes("r1")}}});
     EXPECT_GT(edge.gauges().prefixes.blocks, 0U);
     (void)edge.step(Time(1000s) + s.cache_events.replay_timeout, {});
     EXPECT_EQ(edge.gauges().prefixes.blocks, 0U);
@@ -168,7 +172,8 @@
 TEST(Prefix, GapsAreAskedForAndNotWaitedForForEver) {
     Edge edge(with_events());
     Time now(1000s);
-    (void)edge.step(now, {ServerList{ListScope::complete, {publishes("r1"), listed("w1", "writer")}}});
+    (void)edge.step(now, {membership::EndpointList{EndpointUpdateKind::snapshot,
+                                                   {publishes("r1"), listed("w1", "writer")}}});
     (void)edge.step(now, {holds("r1", 0, 1)});
     const auto asked = of<CacheReplay>(edge.step(now, {holds("r1", 3, 4)}));
     ASSERT_EQ(asked.size(), 1U);
--- a/tests/core/verification_test.cpp
+++ b/tests/core/verification_test.cpp
@@ -15,8 +15,8 @@
         if (c.kind == CallKind::verify) out.push_back(c);
     return out;
 }
-void not_verified(Driver& d, CallId call) {
-    d.give({CallFailed{call, engine::Ending::not_verified, "TLS, not verified: hostname mismatch"}});
+void mark_unverified(Driver& d, CallId call) {
+    d.give({CallFailed{call, engine::Ending::unverified, "TLS, not verified: hostname mismatch"}});
 }
 config::EdgeSettings pauses() {
     auto s = settings();
@@ -52,7 +52,7 @@
     d.usual_list();
     const CallId write = d.to_write("once");
     const std::string bad = d.sent().back().server;
-    not_verified(d, write);
+    mark_unverified(d, write);
     // Proved not to have run: even what must not run twice goes to the other writer at once.
     ASSERT_EQ(d.sent().size(), 3U);
     EXPECT_NE(d.sent().back().server, bad);
@@ -71,13 +71,13 @@
     d.pass(1s);
     ASSERT_EQ(trials(d).size(), 1U);
     EXPECT_TRUE(trials(d)[0].body.empty());
-    not_verified(d, trials(d)[0].call);
+    mark_unverified(d, trials(d)[0].call);
     d.usual_list();
     d.pass(500ms);
     EXPECT_EQ(trials(d).size(), 1U);
     auto moved = listed(bad, "writer");
     moved.address.port = 10;
-    d.list({moved}, ListScope::changes);
+    d.list({moved}, EndpointUpdateKind::delta);
     ASSERT_EQ(trials(d).size(), 2U);
     EXPECT_EQ(trials(d)[1].address.port, 10);
     d.give({CallDone{trials(d)[1].call}});
@@ -104,20 +104,20 @@
 TEST(Verification, ChangedTrustAsksAllAtOnce) {
     Driver d(pauses());
     d.usual_list();
-    not_verified(d, d.to_write());
-    not_verified(d, d.sent().back().call);
+    mark_unverified(d, d.to_write());
+    mark_unverified(d, d.sent().back().call);
     d.pass(1s);
-    for (const auto& t : trials(d)) not_verified(d, t.call);
+    for (const auto& t : trials(d)) mark_unverified(d, t.call);
     const auto before = trials(d).size();
     EXPECT_EQ(before, 2U);
-    d.give({TrustChanged{}});
+    d.give({TrustStoreChanged{}});
     EXPECT_EQ(trials(d).size(), before + 2);
 }
 
 TEST(Verification, NoServerLeftIsRefusedInTimeWithAdvice) {
     Driver d(pauses());
     d.list({listed("r1", "reader"), listed("w1", "writer")});
-    not_verified(d, d.to_write("once"));
+    mark_unverified(d, d.to_write("once"));
     d.pass(4s);
     ASSERT_EQ(d.replies.size(), 1U);
     EXPECT_EQ(d.replies[0].status, 503);
@@ -136,16 +136,16 @@
     }
     auto& most = waiting["w1"].size() > waiting["w2"].size() ? waiting["w1"] : waiting["w2"];
     ASSERT_GE(most.size(), 2U);
-    not_verified(d, most.front());
+    mark_unverified(d, most.front());
     for (std::size_t i = 1; i < most.size(); ++i) EXPECT_TRUE(d.was_aborted(most[i]));
 }
 
 TEST(Verification, RemovedServerIsForgotten) {
     Driver d(pauses());
     d.usual_list();
-    not_verified(d, d.to_write());
+    mark_unverified(d, d.to_write());
     const std::string bad = d.servers.back().server;
-    d.list({listed(bad, "writer", ServerState::removed)}, ListScope::changes);
+    d.list({listed(bad, "writer", EndpointState::removed)}, EndpointUpdateKind::delta);
     EXPECT_EQ(d.edge.gauges().unverified_servers, 0U);
     d.pass(3s);
     EXPECT_TRUE(trials(d).empty());
--- a/tests/engine/engine_test.cpp
+++ b/tests/engine/engine_test.cpp
@@ -11,7 +11,7 @@
                                Ending::withdrawn, Ending::closed,      Ending::bad_answer,
                                Ending::timed_out, Ending::cancelled};
 
-TEST(Outcome, NothingThatWasSentIsProvedNotToHaveRunButByTheEnginesWord) {
+TEST(AttemptOutcome, NothingThatWasSentIsProvedNotToHaveRunButByTheEnginesWord) {
     for (const auto ending : kEndings)
         for (const bool read : {false, true})
             for (const bool started : {false, true})
@@ -23,7 +23,7 @@
                     }
 }
 
-TEST(Outcome, NoByteOutIsProof) {
+TEST(AttemptOutcome, NoByteOutIsProof) {
     for (const auto ending : kEndings) {
         if (ending == Ending::answered || ending == Ending::bad_answer) continue;
         Facts f;
@@ -32,26 +32,28 @@
     }
 }
 
-TEST(Outcome, Table) {
+TEST(AttemptOutcome, Table) {
     const auto of = [](Ending ending, bool read, bool started, bool whole, int status,
                        NotRun word = NotRun::not_said, bool by_settings = false) {
         return judge({ending, true, read, started, whole, status, word, by_settings});
     };
-    EXPECT_EQ(of(Ending::answered, true, false, true, 200).outcome, Outcome::read);
-    EXPECT_EQ(of(Ending::answered, false, true, true, 200).outcome, Outcome::ok);
-    EXPECT_EQ(of(Ending::answered, false, false, false, 200).outcome, Outcome::error);
-    EXPECT_EQ(of(Ending::answered, false, true, false, 200).outcome, Outcome::reset);
-    EXPECT_EQ(of(Ending::closed, false, false, false, 0).outcome, Outcome::reset);
-    EXPECT_EQ(of(Ending::bad_answer, false, false, false, 200).outcome, Outcome::error);
-    EXPECT_EQ(of(Ending::answered, false, false, false, 503).outcome, Outcome::error);
-    EXPECT_EQ(of(Ending::answered, false, false, false, 503, NotRun::full).outcome, Outcome::full);
-    EXPECT_EQ(of(Ending::answered, false, false, false, 503, NotRun::no_state).remark, 1);
-    EXPECT_EQ(of(Ending::answered, false, false, false, 429, NotRun::not_said, true).outcome, Outcome::full);
+    EXPECT_EQ(of(Ending::answered, true, false, true, 200).outcome, AttemptOutcome::prefilled);
+    EXPECT_EQ(of(Ending::answered, false, true, true, 200).outcome, AttemptOutcome::ok);
+    EXPECT_EQ(of(Ending::answered, false, false, false, 200).outcome, AttemptOutcome::error);
+    EXPECT_EQ(of(Ending::answered, false, true, false, 200).outcome, AttemptOutcome::reset);
+    EXPECT_EQ(of(Ending::closed, false, false, false, 0).outcome, AttemptOutcome::reset);
+    EXPECT_EQ(of(Ending::bad_answer, false, false, false, 200).outcome, AttemptOutcome::error);
+    EXPECT_EQ(of(Ending::answered, false, false, false, 503).outcome, AttemptOutcome::error);
+    EXPECT_EQ(of(Ending::answered, false, false, false, 503, NotRun::full).outcome,
+              AttemptOutcome::at_capacity);
+    EXPECT_TRUE(of(Ending::answered, false, false, false, 503, NotRun::no_state).kv_state_missing);
+    EXPECT_EQ(of(Ending::answered, false, false, false, 429, NotRun::not_said, true).outcome,
+              AttemptOutcome::at_capacity);
     EXPECT_TRUE(of(Ending::answered, false, false, false, 422).clients_fault);
     EXPECT_FALSE(of(Ending::answered, false, false, false, 429).clients_fault);
     EXPECT_FALSE(of(Ending::answered, false, false, false, 401).clients_fault);
     // The word counts only in a whole answer with an error status: not where a stream had begun.
-    EXPECT_EQ(of(Ending::closed, false, false, false, 503, NotRun::full).outcome, Outcome::reset);
+    EXPECT_EQ(of(Ending::closed, false, false, false, 503, NotRun::full).outcome, AttemptOutcome::reset);
 }
 
 TEST(Protocol, LoadFiguresByPublishedNames) {
--- a/tests/faults/shutdown_soak_test.cpp
+++ b/tests/faults/shutdown_soak_test.cpp
@@ -18,7 +18,7 @@
     std::chrono::milliseconds deadline{};  // the longest of a class
     bool resume = true;
     int clients = 0;
-    int crowd = 0;
+    int client_workload = 0;
     double hang = 0;  // part of the servers' answers that never come
     std::vector<int> signals;
     std::chrono::milliseconds run_up{};
@@ -36,7 +36,7 @@
         deadline = deadlines[draw() % deadlines.size()];
         resume = draw() % 3 != 0;
         clients = 4 + static_cast<int>(draw() % 20);
-        crowd = draw() % 3 == 0 ? 60 : 0;
+        client_workload = draw() % 3 == 0 ? 60 : 0;
         hang = draw() % 2 == 0 ? 0 : 0.25;
         signals = series[draw() % series.size()];
         run_up = std::chrono::milliseconds(100 + draw() % 300);
@@ -175,8 +175,9 @@
 TEST_P(ShutdownSoak, NothingTakenIsLost) {
     serve();
     start(reader->address, writer->address, "");
-    std::vector<std::unique_ptr<DirectClient>> crowd;
-    for (int i = 0; i < plan_.crowd; ++i) crowd.push_back(std::make_unique<DirectClient>(address));
+    std::vector<std::unique_ptr<DirectClient>> client_workload;
+    for (int i = 0; i < plan_.client_workload; ++i)
+        client_workload.push_back(std::make_unique<DirectClient>(address));
     clients_.resize(static_cast<std::size_t>(plan_.clients));
     run_for(plan_.run_up);
     ASSERT_FALSE(exited) << log();
@@ -207,7 +208,8 @@
                       << (u.by_kill ? ", killed" : ", ended by the gateway");
     }
     EXPECT_EQ(lost_requests, 0) << "deadline " << plan_.deadline.count() << " ms, resume " << plan_.resume
-                                << ", clients " << plan_.clients << ", crowd " << plan_.crowd << "\n"
+                                << ", clients " << plan_.clients << ", crowd " << plan_.client_workload
+                                << "\n"
                                 << log();
     EXPECT_GT(asked_, 0);
 }
--- a/tests/fuzz/codecs_fuzz.cpp
+++ b/tests/fuzz/codecs_fuzz.cpp
@@ -7,13 +7,13 @@
 #include "chat/collect.hpp"
 #include "chat/request.hpp"
 #include "chat/sse.hpp"
+#include "checker/record.hpp"
 #include "config/kdl/kdl.hpp"
 #include "config/settings.hpp"
 #include "engine/protocol.hpp"
 #include "engine/vocabulary.hpp"
 #include "http/message.hpp"
 #include "net/admin.hpp"
-#include "record/record.hpp"
 #include "scenario/scenario.hpp"
 
 namespace {
--- a/tests/fuzz/edge_fuzz.cpp
+++ b/tests/fuzz/edge_fuzz.cpp
@@ -131,19 +131,19 @@
                 return give({CallFailed{{call}, endings[next() % 4], "f"}});
             }
             case 8: {
-                ServerList list;
-                list.scope = next() % 3 == 0 ? ListScope::complete : ListScope::changes;
+                membership::EndpointList list;
+                list.kind = next() % 3 == 0 ? EndpointUpdateKind::snapshot : EndpointUpdateKind::delta;
                 for (int n = next() % 4; n >= 0; --n) {
-                    ListedServer s;
+                    membership::EndpointConfig s;
                     const auto which = next() % 6;
-                    s.entry.id = {"s" + std::to_string(which)};
-                    s.entry.kind = which < 2 ? "r" : which < 5 ? "w" : "m";
-                    s.entry.zone = which % 2 ? "a" : "b";
-                    s.entry.cell = which % 3;
-                    s.entry.state = static_cast<ServerState>(next() % 3);
-                    s.entry.born = next() % 4 == 0 ? now_ : Time{};
+                    s.endpoint.id = {"s" + std::to_string(which)};
+                    s.endpoint.kind = which < 2 ? "r" : which < 5 ? "w" : "m";
+                    s.endpoint.zone = which % 2 ? "a" : "b";
+                    s.endpoint.cell = which % 3;
+                    s.endpoint.state = static_cast<EndpointState>(next() % 3);
+                    s.endpoint.started_at = next() % 4 == 0 ? now_ : Time{};
                     s.address = {"127.0.0.1", 1};
-                    list.servers.push_back(std::move(s));
+                    list.endpoints.push_back(std::move(s));
                 }
                 return give({std::move(list)});
             }
@@ -171,9 +171,9 @@
                 calls_[call->call.value] = call->body.find("do_remote_decode\":true") != std::string::npos;
             } else if (const auto* abort = std::get_if<CallAbort>(&o)) {
                 calls_.erase(abort->call.value);
-            } else if (const auto* settled = std::get_if<CallSettled>(&o)) {
+            } else if (const auto* settled = std::get_if<CompleteCall>(&o)) {
                 calls_.erase(settled->call.value);
-            } else if (const auto* reply = std::get_if<Reply>(&o)) {
+            } else if (const auto* reply = std::get_if<SendResponse>(&o)) {
                 must(clients_[reply->client.value] && !begun_[reply->client.value]);
                 clients_[reply->client.value] = false;
             } else if (const auto* begin = std::get_if<StreamBegin>(&o)) {
@@ -184,7 +184,7 @@
             } else if (const auto* end = std::get_if<StreamEnd>(&o)) {
                 must(clients_[end->client.value] && begun_[end->client.value]);
                 clients_[end->client.value] = false;
-            } else if (const auto* note = std::get_if<Note>(&o)) {
+            } else if (const auto* note = std::get_if<EmitRecord>(&o)) {
                 must(!std::holds_alternative<observe::GuardRecord>(note->record));
             }
         }
--- a/tests/lab/account_test.cpp
+++ b/tests/lab/account_test.cpp
@@ -1,5 +1,5 @@
 // What a run's account says of records that are made by hand.
-#include "record/account.hpp"
+#include "checker/account.hpp"
 
 #include <gtest/gtest.h>
 
@@ -25,10 +25,10 @@
 }
 
 TEST(Account, WorthIsWholeInTimeAndPartAfterTheAim) {
-    ClassSettings c;
+    RequestClassSettings c;
     c.name = "c";
-    c.worth = 3;
-    c.late_worth = 0.2;
+    c.priority_weight = 3;
+    c.late_weight_factor = 0.2;
     Account a({c}, Time{});
     for (const char* id : {"intime", "late", "refused", "gone", "open"})
         a.add(record(What::asked, id, milliseconds(100)));
--- a/tests/lab/checker_test.cpp
+++ b/tests/lab/checker_test.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 
 #include "lab/scenarios.hpp"
-#include "virtual/day.hpp"
+#include "simulation/simulation.hpp"
 
 namespace chalksail::lab {
 namespace {
@@ -16,8 +16,8 @@
 }
 
 // Breaches of each rule on this day, with that tampering.
-std::map<int, int> breaches(const std::string& troubles, Tampering tampering) {
-    VirtualDay day(scenario("troubles {\n" + troubles + "\n}", 4));
+std::map<int, int> breaches(const std::string& faults, Tampering tampering) {
+    Simulation day(scenario("troubles {\n" + faults + "\n}", 4));
     day.tamper(std::move(tampering));
     std::map<int, int> out;
     for (const auto& b : day.run().breaches) out[b.rule] += 1;
@@ -33,7 +33,7 @@
     const auto found =
         breaches("", {{}, [&](std::vector<core::Output>& outputs) {
                           std::erase_if(outputs, [&](const core::Output& o) {
-                              return std::holds_alternative<core::Reply>(o) && ++seen % 10 == 0;
+                              return std::holds_alternative<core::SendResponse>(o) && ++seen % 10 == 0;
                           });
                       }});
     EXPECT_GT(found.count(1), 0U);
@@ -118,8 +118,9 @@
     const auto found = breaches(R"(preempt at="5s" for="6s" engines="decode" share=0.6 notice="5s")",
                                 {[](std::vector<core::Input>& inputs) {
                                      for (auto& i : inputs)
-                                         if (auto* list = std::get_if<core::ServerList>(&i))
-                                             for (auto& s : list->servers) s.entry.state = ServerState::up;
+                                         if (auto* list = std::get_if<membership::EndpointList>(&i))
+                                             for (auto& s : list->endpoints)
+                                                 s.endpoint.state = EndpointState::up;
                                  },
                                  {}});
     EXPECT_GT(found.count(3), 0U);
@@ -127,17 +128,17 @@
 
 TEST(Checker, Rule4AColdServerIsPushedOver) {
     // Once told that a reader has started anew, this gateway sends it every read.
-    VirtualDay day(scenario(R"(troubles { crash at="3s" for="2s" server="prefill-2"; }
+    Simulation day(scenario(R"(troubles { crash at="3s" for="2s" server="prefill-2"; }
         clients 150)",
                             4));
     std::string cold;
-    core::ListedServer entry;
+    membership::EndpointConfig entry;
     day.tamper({[&](std::vector<core::Input>& inputs) {
                     for (auto& i : inputs)
-                        if (auto* list = std::get_if<core::ServerList>(&i))
-                            for (auto& s : list->servers)
-                                if (s.entry.born != Time{} && s.entry.state == ServerState::up)
-                                    cold = s.entry.id.value;
+                        if (auto* list = std::get_if<membership::EndpointList>(&i))
+                            for (auto& s : list->endpoints)
+                                if (s.endpoint.started_at != Time{} && s.endpoint.state == EndpointState::up)
+                                    cold = s.endpoint.id.value;
                 },
                 [&](std::vector<core::Output>& outputs) {
                     for (auto& o : outputs)
@@ -169,8 +170,8 @@
     r.request = "c\"1";
     r.gateway = "g";
     r.cls = "once";
-    r.effect = Effect::once;
-    r.group = Group::zone;
+    r.effect = Idempotency::non_idempotent;
+    r.group = DeduplicationScope::zone;
     r.deadline = std::chrono::seconds(4);
     const auto back = parse(format(r));
     ASSERT_TRUE(back);
--- a/tests/lab/compare_test.cpp
+++ b/tests/lab/compare_test.cpp
@@ -1,6 +1,6 @@
 // Arms of a comparison: baselines keep the rules on bad days, cache events do in virtual time what they are
 // for, and intervals are Student's.
-#include "virtual/compare.hpp"
+#include "simulation/compare.hpp"
 
 #include <gtest/gtest.h>
 
@@ -8,7 +8,7 @@
 #include <cmath>
 
 #include "lab/scenarios.hpp"
-#include "virtual/day.hpp"
+#include "simulation/simulation.hpp"
 
 namespace chalksail::lab {
 namespace {
@@ -22,10 +22,10 @@
     EXPECT_EQ(estimate({}).mean, 0);
 }
 
-class BaselineDay : public ::testing::TestWithParam<Placing> {};
+class BaselineDay : public ::testing::TestWithParam<PlacementPolicy> {};
 
 TEST_P(BaselineDay, KeepsTheRules) {
-    VirtualDay day(scenario(R"(clients 24
+    Simulation day(scenario(R"(clients 24
         troubles {
             crash at="4s" for="6s" engines="decode" share=0.4
             preempt at="8s" for="6s" engines="prefill" share=0.3 notice="2s"
@@ -43,13 +43,14 @@
     EXPECT_EQ(day.figures().guards, 0U);
     EXPECT_GT(v.served, v.asked / 2);
 }
-std::string name_of(const ::testing::TestParamInfo<Placing>& info) {
+std::string name_of(const ::testing::TestParamInfo<PlacementPolicy>& info) {
     static const std::array names{"Random", "RoundRobin", "LeastOutstanding", "TwoChoices", "PrefixHash"};
     return names[static_cast<std::size_t>(info.param)];
 }
 INSTANTIATE_TEST_SUITE_P(All, BaselineDay,
-                         ::testing::Values(Placing::random, Placing::round_robin, Placing::least_outstanding,
-                                           Placing::two_choices, Placing::prefix_hash),
+                         ::testing::Values(PlacementPolicy::random, PlacementPolicy::round_robin,
+                                           PlacementPolicy::least_outstanding, PlacementPolicy::two_choices,
+                                           PlacementPolicy::prefix_hash),
                          name_of);
 
 // Twelve readers, forty shared beginnings: more than one reader keeps.
@@ -74,7 +75,7 @@
 }
 
 TEST(CacheEvents, LostOnesAreReplayedAndTheIndexEndsWhole) {
-    VirtualDay day(with_events(R"(caches { lost 0.1; past 200; })", 1));
+    Simulation day(with_events(R"(caches { lost 0.1; past 200; })", 1));
     const auto v = day.run();
     EXPECT_EQ(v.breaches.size(), 0U);
     const auto& f = day.figures();
@@ -85,7 +86,7 @@
 }
 
 TEST(CacheEvents, GapsThatNobodyFillsCostSpeedOnly) {
-    VirtualDay day(with_events(R"(caches { lost 0.2; past 0; }
+    Simulation day(with_events(R"(caches { lost 0.2; past 0; }
                                   troubles { crash at="5s" for="2s" server="prefill-3"; })",
                                1));
     const auto v = day.run();
--- a/tests/lab/report_test.cpp
+++ b/tests/lab/report_test.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "lab/scenarios.hpp"
-#include "virtual/day.hpp"
+#include "simulation/simulation.hpp"
 
 namespace chalksail::lab {
 namespace {
@@ -20,7 +20,7 @@
         troubles { crash at="1s" for="2s" server="decode-2"; give_up at="0s" for="6s" part=0.1; })",
                       3);
     s.length = std::chrono::seconds(6);
-    VirtualDay day(s);
+    Simulation day(s);
     Account account(s.edge.module.classes, day.begin());
     day.watch([&](const Record& r) { account.add(r); });
     auto verdict = day.run();
--- a/tests/lab/search_test.cpp
+++ b/tests/lab/search_test.cpp
@@ -29,7 +29,7 @@
     ASSERT_TRUE(found);
     EXPECT_EQ(played, 3);
     EXPECT_EQ(found->regret(), worst);
-    EXPECT_FALSE(found->scenario.troubles.empty());
+    EXPECT_FALSE(found->scenario.faults.empty());
 }
 
 // A case that counts as bad enough is made smaller, and the file of it is the same day.
@@ -39,7 +39,7 @@
     bad.scenario = b;
     bad.scenario.seed = 3;
     sim::Stream draws(3, "search");
-    for (int i = 0; i < 3; ++i) bad.scenario.troubles.push_back(draw_trouble(draws, b.zones, b.length));
+    for (int i = 0; i < 3; ++i) bad.scenario.faults.push_back(draw_fault(draws, b.zones, b.length));
     // Said to be a little worse than it is, so that something can be left out.
     bad = play_case(bad.scenario);
     bad.best = bad.module + 0.011;
@@ -58,7 +58,7 @@
     EXPECT_EQ(again->engines.size(), s.engines.size());
     EXPECT_EQ(again->edges, s.edges);
     EXPECT_EQ(again->clients, s.clients);
-    EXPECT_EQ(again->troubles.size(), s.troubles.size());
+    EXPECT_EQ(again->faults.size(), s.faults.size());
     EXPECT_EQ(play_case(*again).module, play_case(s).module);
 }
 
@@ -83,11 +83,11 @@
     sim::Stream draws(1, "test");
     const auto b = base();
     for (int i = 0; i < 60; ++i) {
-        const auto t = draw_trouble(draws, b.zones, b.length);
+        const auto t = draw_fault(draws, b.zones, b.length);
         const auto back = parse_scenario("troubles {\n" + to_kdl(t) + "\n}", "t", &b);
         ASSERT_TRUE(back) << config::format(back.error().front()) << to_kdl(t);
-        ASSERT_EQ(back->troubles.size(), 1U);
-        EXPECT_EQ(to_kdl(back->troubles.front()), to_kdl(t));
+        ASSERT_EQ(back->faults.size(), 1U);
+        EXPECT_EQ(to_kdl(back->faults.front()), to_kdl(t));
     }
 }
 
--- a/tests/lab/virtual_day_test.cpp
+++ b/tests/lab/simulation_test.cpp
@@ -1,14 +1,15 @@
 // Bad days in virtual time: the real core, the stand-ins' models, and the checker of the rules. The same on
 // each run.
+#include "simulation/simulation.hpp"
+
 #include <gtest/gtest.h>
 
 #include "lab/scenarios.hpp"
-#include "virtual/day.hpp"
 
 namespace chalksail::lab {
 namespace {
 
-std::string told(const Verdict5& v) {
+std::string told(const RuleReport& v) {
     std::string out;
     for (std::size_t i = 0; i < v.breaches.size() && i < 5; ++i) out += format(v.breaches[i]) + "\n";
     return out;
@@ -16,12 +17,12 @@
 
 struct Kind {
     const char* name;
-    const char* troubles;
+    const char* faults;
 };
 class BadDay : public ::testing::TestWithParam<std::tuple<Kind, std::uint64_t>> {};
 
 TEST_P(BadDay, KeepsTheRulesAndLeavesNothingOpen) {
-    VirtualDay day(scenario(std::string("troubles {\n") + std::get<0>(GetParam()).troubles + "\n}",
+    Simulation day(scenario(std::string("troubles {\n") + std::get<0>(GetParam()).faults + "\n}",
                             std::get<1>(GetParam())));
     const auto v = day.run();
     EXPECT_EQ(v.breaches.size(), 0U) << told(v);
@@ -36,7 +37,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Troubles, BadDay,
+    FaultInjector, BadDay,
     ::testing::Combine(
         ::testing::Values(
             Kind{"quiet", ""}, Kind{"writers_crash", R"(crash at="5s" for="6s" engines="decode" share=0.4)"},
@@ -71,7 +72,7 @@
 
 // Twenty engines come back cold at once, into a full load: none is pushed over by gateways that have been
 // told.
-TEST(VirtualDay, TwentyEnginesComeBackColdAtOnce) {
+TEST(Simulation, TwentyEnginesComeBackColdAtOnce) {
     constexpr const char* large = R"(
         edges 4
         clients 200
@@ -95,7 +96,7 @@
     for (const int seed : {1, 2}) {
         auto s = parse_scenario(std::string(large) + "\nseed " + std::to_string(seed), "cold");
         ASSERT_TRUE(s) << format(s.error().front());
-        VirtualDay day(std::move(*s));
+        Simulation day(std::move(*s));
         const auto v = day.run();
         EXPECT_EQ(v.breaches.size(), 0U) << told(v);
         EXPECT_EQ(day.figures().fell, 0U);
@@ -104,9 +105,9 @@
     }
 }
 
-TEST(VirtualDay, SameSeedSameBytes) {
+TEST(Simulation, SameSeedSameBytes) {
     const auto play = [](std::uint64_t seed) {
-        VirtualDay day(scenario(
+        Simulation day(scenario(
             R"(troubles { crash at="3s" for="4s" share=0.3; give_up at="1s" for="9s" part=0.3; })", seed));
         day.run();
         std::string out;
--- a/tests/net/cache_feed_test.cpp
+++ b/tests/net/cache_feed_test.cpp
@@ -7,7 +7,7 @@
 #include <functional>
 #include <vector>
 
-#include "shell/cache_publisher.hpp"
+#include "sockets/cache_publisher.hpp"
 
 namespace chalksail::net::testing {
 namespace {
--- a/tests/net/cache_restart_test.cpp
+++ b/tests/net/cache_restart_test.cpp
@@ -2,7 +2,7 @@
 #include <filesystem>
 
 #include "net/rig.hpp"
-#include "shell/cache_publisher.hpp"
+#include "sockets/cache_publisher.hpp"
 
 namespace chalksail::net::testing {
 namespace {
@@ -30,7 +30,7 @@
                                  format_address(publisher->replay()) + "\"\n";
         auto parsed = config::parse_settings(text, "t");
         if (!parsed) throw std::runtime_error(format(parsed.error().front()));
-        edge = std::make_unique<EdgeShell>(loop, *parsed, *log);
+        edge = std::make_unique<EdgeServer>(loop, *parsed, *log);
     }
     double metric(const std::string& name) {
         RawClient admin(loop, edge->admin_address());
--- a/tests/net/gate_test.cpp
+++ b/tests/net/handshake_limiter_test.cpp
@@ -1,5 +1,5 @@
 // Which handshakes begin: caps, worth, order, and that no place is ever lost.
-#include "net/tls/gate.hpp"
+#include "net/tls/handshake_limiter.hpp"
 
 #include <gtest/gtest.h>
 
@@ -10,15 +10,15 @@
 namespace chalksail::net::tls {
 namespace {
 
-std::vector<HandshakeGate::Id> all_next(HandshakeGate& gate) {
-    std::vector<HandshakeGate::Id> out;
+std::vector<HandshakeLimiter::Id> all_next(HandshakeLimiter& gate) {
+    std::vector<HandshakeLimiter::Id> out;
     while (const auto id = gate.next()) out.push_back(*id);
     return out;
 }
-using Ids = std::vector<HandshakeGate::Id>;
+using Ids = std::vector<HandshakeLimiter::Id>;
 
 TEST(Gate, MostWorthyFirstThenFirstCome) {
-    HandshakeGate gate({2, 2});
+    HandshakeLimiter gate({2, 2});
     gate.enter(1, "a", 1);
     gate.enter(2, "b", 5);
     gate.enter(3, "a", 5);
@@ -31,8 +31,8 @@
 }
 
 TEST(Gate, OneServersStormTakesNoMoreThanItsCap) {
-    HandshakeGate gate({8, 3});
-    for (HandshakeGate::Id id = 1; id <= 20; ++id) gate.enter(id, "back", 9);
+    HandshakeLimiter gate({8, 3});
+    for (HandshakeLimiter::Id id = 1; id <= 20; ++id) gate.enter(id, "back", 9);
     gate.enter(21, "other", 0);
     EXPECT_EQ(all_next(gate), (Ids{1, 2, 3, 21}));  // the less worthy one goes past them
     EXPECT_FALSE(gate.waits_for_all(4));            // it is its server that is busy
@@ -46,7 +46,7 @@
 }
 
 TEST(Gate, SaysWhoseLimitHoldsOneBack) {
-    HandshakeGate gate({1, 1});
+    HandshakeLimiter gate({1, 1});
     gate.enter(1, "a", 1);
     gate.enter(2, "b", 1);
     gate.enter(3, "a", 1);
@@ -62,16 +62,16 @@
 TEST(Gate, AgreesWithThePlainModelOverRandomDays) {
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         std::mt19937_64 random(seed);
-        const HandshakeGate::Limits limits{1 + random() % 6, 1 + random() % 3};
-        HandshakeGate gate(limits);
+        const HandshakeLimiter::Limits limits{1 + random() % 6, 1 + random() % 3};
+        HandshakeLimiter gate(limits);
         struct One {
-            HandshakeGate::Id id;
+            HandshakeLimiter::Id id;
             std::string server;
             double worth;
             bool begun;
         };
         std::vector<One> model;
-        HandshakeGate::Id last = 0;
+        HandshakeLimiter::Id last = 0;
         for (int step = 0; step < 400; ++step) {
             const auto what = random() % 3;
             if (what == 0) {
--- a/tests/net/platform_rig.hpp
+++ b/tests/net/platform_rig.hpp
@@ -51,7 +51,7 @@
         auto list =
             std::make_unique<DiscoveryWatch>(loop, *log, told->discovery, std::move(known), watch_limits);
         watch = list.get();
-        edge = std::make_unique<EdgeShell>(loop, settings, *log, std::move(list));
+        edge = std::make_unique<EdgeServer>(loop, settings, *log, std::move(list));
     }
     WatchLimits watch_limits;
     [[nodiscard]] std::string whole(int generation) const {
--- a/tests/net/platform_socket_test.cpp
+++ b/tests/net/platform_socket_test.cpp
@@ -28,9 +28,9 @@
               s.limits.first_timeout = 300ms;
           });
     for (int i = 0; i < 12; ++i) client();
-    const auto crowd = clients.size();
+    const auto client_workload = clients.size();
     EXPECT_TRUE(until([&] {
-        return std::all_of(clients.begin(), clients.begin() + static_cast<std::ptrdiff_t>(crowd),
+        return std::all_of(clients.begin(), clients.begin() + static_cast<std::ptrdiff_t>(client_workload),
                            [](const auto& c) { return c->closed(); });
     }));
     EXPECT_TRUE(served("a1"));
--- a/tests/net/pool_crossing_test.cpp
+++ b/tests/net/pool_crossing_test.cpp
@@ -201,7 +201,7 @@
     PoolLimits limits;
     limits.per_server = 1;
     limits.dial_timeout = std::chrono::seconds(20);
-    pool = std::make_unique<HttpPool>(loop, static_cast<HttpPool::Handler&>(*this), limits);
+    pool = std::make_unique<UpstreamPool>(loop, static_cast<UpstreamPool::Handler&>(*this), limits);
     Peer peer;
     call(peer);
     until([&] { return written; });
--- a/tests/net/pool_rig.hpp
+++ b/tests/net/pool_rig.hpp
@@ -13,7 +13,7 @@
 #include <string>
 #include <utility>
 
-#include "net/http_pool.hpp"
+#include "net/upstream_pool.hpp"
 
 namespace chalksail::net::testing {
 
@@ -49,7 +49,7 @@
     Address address;
 };
 
-class Pool : public ::testing::Test, protected HttpPool::Handler {
+class Pool : public ::testing::Test, protected UpstreamPool::Handler {
 protected:
     Pool() { uv_loop_init(&loop); }
     ~Pool() override {
@@ -61,7 +61,7 @@
         PoolLimits limits;
         limits.connections = connections;
         limits.dial_timeout = std::chrono::seconds(20);
-        pool = std::make_unique<HttpPool>(loop, static_cast<HttpPool::Handler&>(*this), limits);
+        pool = std::make_unique<UpstreamPool>(loop, static_cast<UpstreamPool::Handler&>(*this), limits);
     }
     void call(const Peer& peer, std::string_view body = "", bool beyond_limit = false) {
         over = written = false;
@@ -90,25 +90,25 @@
         peer.say(kAnswer);
         until([&] { return over; });
     }
-    bool on_ready(HttpPool::Call call, http::Headers& headers) override {
+    bool on_ready(UpstreamPool::Call call, http::Headers& headers) override {
         if (update) headers.set("X-Time-Left", *update);
         return goes && (call == 1 || call > late_until);
     }
-    void on_written(HttpPool::Call) override { written = true; }
-    void on_head(HttpPool::Call, int, http::Headers) override {}
-    void on_body(HttpPool::Call, std::string) override {}
-    void on_done(HttpPool::Call) override { over = true; }
-    void on_failed(HttpPool::Call, engine::Ending why, std::string) override {
+    void on_written(UpstreamPool::Call) override { written = true; }
+    void on_head(UpstreamPool::Call, int, http::Headers) override {}
+    void on_body(UpstreamPool::Call, std::string) override {}
+    void on_done(UpstreamPool::Call) override { over = true; }
+    void on_failed(UpstreamPool::Call, engine::Ending why, std::string) override {
         over = true;
         ending = why;
         expired += why == engine::Ending::expired ? 1 : 0;
     }
     uv_loop_t loop{};
-    std::unique_ptr<HttpPool> pool;
-    HttpPool::Call last = 0;
+    std::unique_ptr<UpstreamPool> pool;
+    UpstreamPool::Call last = 0;
     bool over = false, written = false;
-    bool goes = true;               // what on_ready() says
-    HttpPool::Call late_until = 1;  // calls behind the first, up to this one, are kept back
+    bool goes = true;                   // what on_ready() says
+    UpstreamPool::Call late_until = 1;  // calls behind the first, up to this one, are kept back
     int expired = 0;
     std::optional<std::string> update;  // of a header, in on_ready()
     engine::Ending ending = engine::Ending::answered;
--- a/tests/net/rig.hpp
+++ b/tests/net/rig.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "model/exchange.hpp"
-#include "net/edge_shell.hpp"
+#include "net/edge_server.hpp"
 #include "net/http_server.hpp"
 
 namespace chalksail::net::testing {
@@ -265,7 +265,7 @@
         auto parsed = config::parse_settings(text, "t");
         if (!parsed) throw std::runtime_error(format(parsed.error().front()));
         log = std::make_unique<observe::Log>("t", "error");
-        edge = std::make_unique<EdgeShell>(loop, *parsed, *log);
+        edge = std::make_unique<EdgeServer>(loop, *parsed, *log);
     }
     RawClient& client() {
         clients.push_back(std::make_unique<RawClient>(loop, edge->address()));
@@ -287,7 +287,7 @@
     uv_loop_t loop{};
     std::unique_ptr<observe::Log> log;
     std::unique_ptr<RawServer> reader, writer;
-    std::unique_ptr<EdgeShell> edge;
+    std::unique_ptr<EdgeServer> edge;
     std::vector<std::unique_ptr<RawClient>> clients;
 };
 
--- a/tests/net/tls_socket_test.cpp
+++ b/tests/net/tls_socket_test.cpp
@@ -101,7 +101,7 @@
     }
     void begin(const TlsEngine& read, const TlsEngine& written) {
         log = std::make_unique<observe::Log>("t", "error");
-        edge = std::make_unique<EdgeShell>(loop, settings(read, written), *log);
+        edge = std::make_unique<EdgeServer>(loop, settings(read, written), *log);
     }
     std::string metrics() {
         RawClient admin(loop, edge->admin_address());
@@ -146,7 +146,7 @@
     auto s = settings(read, read);
     s.servers[1].address = writer->address;
     log = std::make_unique<observe::Log>("t", "error");
-    edge = std::make_unique<EdgeShell>(loop, s, *log);
+    edge = std::make_unique<EdgeServer>(loop, s, *log);
     RawClient& c = client();
     c.send(post("m"));
     ASSERT_TRUE(until([&] { return c.got().find("HTTP/1.1 5") != std::string::npos; }));
@@ -197,36 +197,41 @@
     write("edge.pem", issued.certificate);
     write("edge.key", issued.key);
     const auto path = [&](const char* name) { return (folder / name).string(); };
-    tls::Rotation rotation(config::TlsConfig{"n", path("ca.pem"), "", path("edge.pem"), path("edge.key")});
-    ASSERT_EQ(rotation.look(now), tls::Rotation::Look::replaced);
+    tls::CertificateReloader certificate_reloader(
+        config::TlsConfig{"n", path("ca.pem"), "", path("edge.pem"), path("edge.key")});
+    ASSERT_EQ(certificate_reloader.poll(now), tls::CertificateReloader::PollResult::replaced);
     for (const bool key_first : {true, false}) {
-        const auto before = rotation.context();
+        const auto before = certificate_reloader.context();
         issued = make();
         write(key_first ? "edge.key" : "edge.pem", key_first ? issued.key : issued.certificate);
-        EXPECT_EQ(rotation.look(now), tls::Rotation::Look::refused);
-        EXPECT_NE(rotation.error().find("do not fit"), std::string::npos) << rotation.error();
-        EXPECT_EQ(rotation.look(now), tls::Rotation::Look::unchanged);  // said once
-        EXPECT_EQ(rotation.context(), before);
+        EXPECT_EQ(certificate_reloader.poll(now), tls::CertificateReloader::PollResult::refused);
+        EXPECT_NE(certificate_reloader.error().find("do not fit"), std::string::npos)
+            << certificate_reloader.error();
+        EXPECT_EQ(certificate_reloader.poll(now),
+                  tls::CertificateReloader::PollResult::unchanged);  // said once
+        EXPECT_EQ(certificate_reloader.context(), before);
         write(key_first ? "edge.pem" : "edge.key", key_first ? issued.certificate : issued.key);
-        EXPECT_EQ(rotation.look(now), tls::Rotation::Look::replaced);
-        EXPECT_NE(rotation.context(), before);
+        EXPECT_EQ(certificate_reloader.poll(now), tls::CertificateReloader::PollResult::replaced);
+        EXPECT_NE(certificate_reloader.context(), before);
     }
     std::filesystem::remove(folder / "edge.key");
-    EXPECT_EQ(rotation.look(now), tls::Rotation::Look::refused);
-    EXPECT_NE(rotation.error().find("edge.key: can't be read"), std::string::npos) << rotation.error();
-    EXPECT_NE(rotation.context(), nullptr);
+    EXPECT_EQ(certificate_reloader.poll(now), tls::CertificateReloader::PollResult::refused);
+    EXPECT_NE(certificate_reloader.error().find("edge.key: can't be read"), std::string::npos)
+        << certificate_reloader.error();
+    EXPECT_NE(certificate_reloader.context(), nullptr);
 }
 
-// Sessions outlive a bundle that grows, and none that loses a CA or gets another revocation list.
+// SessionCache outlive a bundle that grows, and none that loses a CA or gets another revocation list.
 TEST_F(TlsRig, NarrowerTrustForgetsSessions) {
     const auto path = [&](const char* name) { return (folder / name).string(); };
     const lab::Authority next("next", now - 10, now + 10'000);
-    tls::Rotation rotation(config::TlsConfig{"n", path("ca.pem"), "", "", ""});
-    ASSERT_EQ(rotation.look(now), tls::Rotation::Look::replaced);
+    tls::CertificateReloader certificate_reloader(config::TlsConfig{"n", path("ca.pem"), "", "", ""});
+    ASSERT_EQ(certificate_reloader.poll(now), tls::CertificateReloader::PollResult::replaced);
     const auto issued = ca.issue({{"n"}, {}, now - 10, now + 10'000, true, 0, 0});
     const auto server = *tls::Context::server({"", "", issued.certificate, issued.key}, now);
     const auto shake = [&] {
-        const auto c = tls::Filter::client(rotation.context(), "n", &rotation.sessions(), now);
+        const auto c =
+            tls::Filter::client(certificate_reloader.context(), "n", &certificate_reloader.sessions(), now);
         const auto s = tls::Filter::server(server, now);
         std::string to_server = c->start().to_peer;
         while (!to_server.empty()) to_server = c->from_peer(s->from_peer(to_server).to_peer).to_peer;
@@ -235,11 +240,11 @@
     };
     EXPECT_FALSE(shake());
     write("ca.pem", next.certificate() + ca.certificate());
-    ASSERT_EQ(rotation.look(now), tls::Rotation::Look::replaced);
+    ASSERT_EQ(certificate_reloader.poll(now), tls::CertificateReloader::PollResult::replaced);
     EXPECT_TRUE(shake());
     write("ca.pem", ca.certificate());
-    ASSERT_EQ(rotation.look(now), tls::Rotation::Look::replaced);
-    EXPECT_EQ(rotation.sessions().size(), 0U);
+    ASSERT_EQ(certificate_reloader.poll(now), tls::CertificateReloader::PollResult::replaced);
+    EXPECT_EQ(certificate_reloader.sessions().size(), 0U);
 }
 
 // A server that takes the connection and says nothing: proved not to have run, within the dial time-out.
@@ -250,7 +255,7 @@
     s.servers[1].address = writer->address;
     s.module.dial_timeout = 100ms;
     log = std::make_unique<observe::Log>("t", "error");
-    edge = std::make_unique<EdgeShell>(loop, s, *log);
+    edge = std::make_unique<EdgeServer>(loop, s, *log);
     RawClient& c = client();
     c.send(post("once"));
     ASSERT_TRUE(until([&] { return c.got().find("HTTP/1.1 503") != std::string::npos; })) << c.got();
@@ -266,7 +271,7 @@
     s.limits.unverified_pause = 10ms;
     s.limits.unverified_longest = 20ms;
     log = std::make_unique<observe::Log>("t", "error");
-    edge = std::make_unique<EdgeShell>(loop, s, *log);
+    edge = std::make_unique<EdgeServer>(loop, s, *log);
     RawClient& c = client();
     c.send(post("m"));
     ASSERT_TRUE(until([&] { return edge->gauges().unverified_servers == 1; }));
@@ -289,7 +294,7 @@
     s.limits.handshakes_per_server = 1;
     s.limits.handshakes = 2;
     log = std::make_unique<observe::Log>("t", "error");
-    edge = std::make_unique<EdgeShell>(loop, s, *log);
+    edge = std::make_unique<EdgeServer>(loop, s, *log);
     std::vector<RawClient*> all;
     for (int i = 0; i < 40; ++i) {
         all.push_back(&client());
@@ -308,15 +313,15 @@
 // ---- the listener ----
 
 // Speaks to the edge through the pool, as any client with TLS.
-struct PoolClient : HttpPool::Handler {
+struct PoolClient : UpstreamPool::Handler {
     std::string got;
     int status = 0;
     bool done = false;
     std::string failed;
-    void on_head(HttpPool::Call, int s, http::Headers) override { status = s; }
-    void on_body(HttpPool::Call, std::string bytes) override { got += bytes; }
-    void on_done(HttpPool::Call) override { done = true; }
-    void on_failed(HttpPool::Call, engine::Ending, std::string detail) override { failed = detail; }
+    void on_head(UpstreamPool::Call, int s, http::Headers) override { status = s; }
+    void on_body(UpstreamPool::Call, std::string bytes) override { got += bytes; }
+    void on_done(UpstreamPool::Call) override { done = true; }
+    void on_failed(UpstreamPool::Call, engine::Ending, std::string detail) override { failed = detail; }
 };
 
 TEST_F(TlsRig, ListenerShowsTheCertificateAskedForAndReplacesIt) {
@@ -333,11 +338,11 @@
     s.listener_tls =
         config::ListenerTls{{{path("a.pem"), path("a.key")}, {path("b.pem"), path("b.key")}}, ""};
     log = std::make_unique<observe::Log>("t", "error");
-    edge = std::make_unique<EdgeShell>(loop, s, *log);
-    tls::Sessions sessions;
+    edge = std::make_unique<EdgeServer>(loop, s, *log);
+    tls::SessionCache sessions;
     const auto ask = [&](const std::string& name) {
         PoolClient c;
-        HttpPool pool(loop, c, {});
+        UpstreamPool pool(loop, c, {});
         Target to(edge->address());
         to.tls = *tls::Context::client({ca.certificate(), "", "", ""}, now);
         to.tls_name = name;
@@ -371,7 +376,7 @@
     write("ca.pem", "half a certifi");
     observe::Log quiet("t", "error");
     try {
-        EdgeShell shell(loop, s, quiet);
+        EdgeServer shell(loop, s, quiet);
         FAIL() << "started";
     } catch (const std::runtime_error& error) {
         EXPECT_NE(std::string(error.what()).find("ca.pem: trust"), std::string::npos) << error.what();
--- a/tests/net/tls_test.cpp
+++ b/tests/net/tls_test.cpp
@@ -78,7 +78,7 @@
         return out;
     }
     Talk try_server(const std::shared_ptr<Context>& server, const std::string& name = kName,
-                    Sessions* sessions = nullptr, std::int64_t now = kNow,
+                    SessionCache* sessions = nullptr, std::int64_t now = kNow,
                     std::shared_ptr<Context> context = nullptr) {
         client = Filter::client(context ? context : client_context(), name, sessions, now);
         peer = Filter::server(server, now);
@@ -266,7 +266,7 @@
 TEST_F(Tls, SessionsAreResumedOnceEach) {
     const auto context = server_context(ca.issue(good_wish()));
     const auto mine = client_context();
-    Sessions sessions;
+    SessionCache sessions;
     EXPECT_EQ(try_server(context, kName, &sessions, kNow, mine).client_got, "answer");
     EXPECT_FALSE(client->facts().resumed);
     const auto before = sessions.size();
@@ -280,7 +280,7 @@
 TEST_F(Tls, RestartedServerCostsOneFullHandshakeAndNoError) {
     const auto issued = ca.issue(good_wish());
     const auto mine = client_context();
-    Sessions sessions;
+    SessionCache sessions;
     (void)try_server(server_context(issued), kName, &sessions, kNow, mine);
     EXPECT_EQ(try_server(server_context(issued), kName, &sessions, kNow, mine).client_got,
               "answer");  // new ticket keys
@@ -292,7 +292,7 @@
     wish.names = {kName, "decode-8.lekki.example.org"};
     const auto context = server_context(ca.issue(wish));
     const auto mine = client_context();
-    Sessions sessions;
+    SessionCache sessions;
     (void)try_server(context, kName, &sessions, kNow, mine);
     (void)try_server(context, "decode-8.lekki.example.org", &sessions, kNow, mine);
     EXPECT_FALSE(client->facts().resumed);
@@ -300,7 +300,7 @@
 
 TEST_F(Tls, SessionsAreBoundedAndAged) {
     const auto context = server_context(ca.issue(good_wish()));
-    Sessions sessions({2, 3, 100});
+    SessionCache sessions({2, 3, 100});
     for (int i = 0; i < 10; ++i) (void)try_server(context, kName, &sessions);
     EXPECT_LE(sessions.size(), 3U);
     EXPECT_NE(sessions.take(kName, kNow + 99), nullptr);
@@ -342,7 +342,7 @@
 TEST_F(Tls, SharedTicketKeysOutliveARestart) {
     const auto issued = ca.issue(good_wish());
     const auto client = client_context();
-    Sessions sessions;
+    SessionCache sessions;
     const auto resumed = [&](const std::string& keys) {
         const auto restarted = server_context(issued);  // a process of its own each time
         EXPECT_TRUE(restarted->set_ticket_keys(keys));
@@ -460,7 +460,7 @@
     const auto context = server_context(ca.issue(good_wish()));
     SSL_CTX_set_max_proto_version(context->raw(), TLS1_2_VERSION);
     const auto mine = client_context();
-    Sessions sessions;
+    SessionCache sessions;
     EXPECT_EQ(try_server(context, kName, &sessions, kNow, mine).client_got, "answer");
     EXPECT_EQ(client->facts().protocol, "TLSv1.2");
     (void)try_server(context, kName, &sessions, kNow, mine);
@@ -517,7 +517,7 @@
     wish.until = kNow + 100;
     const auto old = server_context(ca.issue(wish));
     const auto mine = client_context();
-    Sessions sessions;
+    SessionCache sessions;
     (void)try_server(old, kName, &sessions, kNow, mine);
     const auto stream = std::move(client), far = std::move(peer);
     ASSERT_GT(sessions.size(), 0U);
--- a/tests/net/wall_clock_step_test.cpp
+++ b/tests/net/wall_clock_step_test.cpp
@@ -34,7 +34,7 @@
         discovery.reset();
         wall_step = std::chrono::seconds(0);
     }
-    void take(core::ServerList list) override { lists.push_back(std::move(list)); }
+    void take(membership::EndpointList list) override { lists.push_back(std::move(list)); }
     void begin() {
         discovery = std::make_unique<RawServer>(loop, [this](RawServer::Peer& p) {
             peer = &p;
@@ -58,12 +58,14 @@
         return told::list_text(entry, generation, whole) + "\n";
     }
     // How long ago the server of the last list started, by the clock that the module goes by.
-    [[nodiscard]] Duration age() const { return uv_now_time() - lists.back().servers.at(0).entry.born; }
+    [[nodiscard]] Duration age() const {
+        return uv_now_time() - lists.back().endpoints.at(0).endpoint.started_at;
+    }
 
     std::unique_ptr<RawServer> discovery;
     RawServer::Peer* peer = nullptr;
     std::unique_ptr<DiscoveryWatch> watch;
-    std::vector<core::ServerList> lists;
+    std::vector<membership::EndpointList> lists;
 };
 
 // Guards against a cold server that is taken for a warm one, or a warm one for a cold one.
@@ -87,12 +89,12 @@
     begin();
     const auto started = wall_ms() - 4000;
     tell("w", started);
-    const Time born = lists.back().servers.at(0).entry.born;
+    const Time born = lists.back().endpoints.at(0).endpoint.started_at;
     for (const auto step :
          {std::chrono::seconds(3600), std::chrono::seconds(-3600), std::chrono::seconds(-2)}) {
         wall_step = step;
         tell("w", started);
-        EXPECT_EQ(lists.back().servers.at(0).entry.born, born) << step.count();
+        EXPECT_EQ(lists.back().endpoints.at(0).endpoint.started_at, born) << step.count();
     }
 }
 
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -22,7 +22,7 @@
     EXPECT_EQ(c->seed, 0x8c1f30d27a5be964U);
     EXPECT_EQ(c->limits.sockets, 256);
     EXPECT_EQ(c->server_idle, 15s);
-    EXPECT_EQ(c->settings.classes.at(1).effect, Effect::once);
+    EXPECT_EQ(c->settings.classes.at(1).idempotency, Idempotency::non_idempotent);
     ASSERT_TRUE(c->known);
     EXPECT_EQ(c->known->instances.at(0).id, "s-1");
 }
@@ -56,8 +56,8 @@
     ASSERT_TRUE(good) << good.error();
     EXPECT_EQ(good->generation, 43);
     EXPECT_FALSE(good->whole);
-    EXPECT_EQ(good->instances.at(1).state, ServerState::draining);
-    EXPECT_EQ(good->instances.at(2).state, ServerState::removed);
+    EXPECT_EQ(good->instances.at(1).state, EndpointState::draining);
+    EXPECT_EQ(good->instances.at(2).state, EndpointState::removed);
     for (const auto& bad :
          {std::string("[1]"), std::string(R"({"generation":1})"), std::string("{"),
           list_text(instance("a", "r", "10.0.0.1:80") + "," + instance("a", "r", "10.0.0.2:80")),
@@ -145,28 +145,30 @@
         change(f);
         return f;
     };
-    EXPECT_EQ(of(with([](auto& f) { f.status = 200, f.started = f.whole = true; })), Outcome::ok);
-    EXPECT_EQ(of(with([](auto& f) { f.status = 200, f.started = true; })), Outcome::reset);  // no [DONE]
-    EXPECT_EQ(of(with([](auto& f) { f.status = 500; })), Outcome::error);
-    EXPECT_EQ(of(with([](auto& f) { f.status = 503; })), Outcome::error);  // without its word
-    EXPECT_EQ(of(with([](auto& f) { f.status = 503, f.not_run = true; })), Outcome::full);
-    EXPECT_EQ(of(with([](auto& f) { f.status = 504, f.not_run = true; })), Outcome::full);
-    EXPECT_EQ(of(with([](auto& f) { f.status = 500, f.not_run = true; })), Outcome::error);
-    EXPECT_EQ(judge(with([](auto& f) { f.status = 410, f.not_run = true; })).remark, 1);
-    EXPECT_EQ(of(with([](auto& f) { f.status = 202, f.read = f.whole = true; })), Outcome::read);
-    EXPECT_EQ(of(with([](auto& f) { f.status = 202, f.whole = true; })), Outcome::error);  // not at a reader
+    EXPECT_EQ(of(with([](auto& f) { f.status = 200, f.started = f.whole = true; })), AttemptOutcome::ok);
+    EXPECT_EQ(of(with([](auto& f) { f.status = 200, f.started = true; })),
+              AttemptOutcome::reset);  // no [DONE]
+    EXPECT_EQ(of(with([](auto& f) { f.status = 500; })), AttemptOutcome::error);
+    EXPECT_EQ(of(with([](auto& f) { f.status = 503; })), AttemptOutcome::error);  // without its word
+    EXPECT_EQ(of(with([](auto& f) { f.status = 503, f.not_run = true; })), AttemptOutcome::at_capacity);
+    EXPECT_EQ(of(with([](auto& f) { f.status = 504, f.not_run = true; })), AttemptOutcome::at_capacity);
+    EXPECT_EQ(of(with([](auto& f) { f.status = 500, f.not_run = true; })), AttemptOutcome::error);
+    EXPECT_TRUE(judge(with([](auto& f) { f.status = 410, f.not_run = true; })).kv_state_missing);
+    EXPECT_EQ(of(with([](auto& f) { f.status = 202, f.read = f.whole = true; })), AttemptOutcome::prefilled);
+    EXPECT_EQ(of(with([](auto& f) { f.status = 202, f.whole = true; })),
+              AttemptOutcome::error);  // not at a reader
     // The request's last byte is the line.
     for (const auto ended : {Ended::no_connection, Ended::broke, Ended::timed_out, Ended::called_off}) {
         Facts f;
         f.ended = ended;
-        EXPECT_EQ(of(f), Outcome::connect_failed);
+        EXPECT_EQ(of(f), AttemptOutcome::connect_failed);
         f.written = true;
-        EXPECT_NE(of(f), Outcome::connect_failed);
+        EXPECT_NE(of(f), AttemptOutcome::connect_failed);
     }
-    EXPECT_EQ(of(with([](auto& f) { f.ended = Ended::broke; })), Outcome::reset);
-    EXPECT_EQ(of(with([](auto& f) { f.ended = Ended::timed_out; })), Outcome::timeout);
-    EXPECT_EQ(of(with([](auto& f) { f.ended = Ended::spoilt; })), Outcome::error);
-    EXPECT_EQ(of(with([](auto& f) { f.ended = Ended::spoilt, f.started = true; })), Outcome::reset);
+    EXPECT_EQ(of(with([](auto& f) { f.ended = Ended::broke; })), AttemptOutcome::reset);
+    EXPECT_EQ(of(with([](auto& f) { f.ended = Ended::timed_out; })), AttemptOutcome::timeout);
+    EXPECT_EQ(of(with([](auto& f) { f.ended = Ended::spoilt; })), AttemptOutcome::error);
+    EXPECT_EQ(of(with([](auto& f) { f.ended = Ended::spoilt, f.started = true; })), AttemptOutcome::reset);
 }
 
 TEST(PlatformAnswer, EventsPassUnchangedHoweverTheyCome) {
--- a/tests/policy/counted_fleet_test.cpp
+++ b/tests/policy/counted_fleet_test.cpp
@@ -8,9 +8,9 @@
 namespace chalksail::testing {
 namespace {
 
-ServerEntry cold_server(const Gateway& g, const std::string& id, const std::string& kind) {
+Endpoint cold_server(const Gateway& g, const std::string& id, const std::string& kind) {
     auto out = server(id, kind);
-    out.born = g.now - 1s;
+    out.started_at = g.now - 1s;
     return out;
 }
 // Serves requests at warm servers, so that work is known to be borne.
@@ -19,10 +19,10 @@
         g.pass(20ms);
         g.arrive(id);
         const auto reader = g.sent_to();
-        g.end(id, 0, reader, Outcome::read);
+        g.end(id, 0, reader, AttemptOutcome::prefilled);
         const auto writer = g.sent_to();
         g.begin_stream(id, 1, writer);
-        g.end(id, 1, writer, Outcome::ok, true);
+        g.end(id, 1, writer, AttemptOutcome::ok, true);
     }
 }
 
@@ -40,7 +40,7 @@
     auto warm = server("warm", "reader");
     g.list({warm, server("w", "writer")});
     serve_many(g, 1, 100);
-    g.list({cold_server(g, "cold", "reader")}, ListScope::changes);
+    g.list({cold_server(g, "cold", "reader")}, EndpointUpdateKind::delta);
     const auto arrive_alone = [&](std::uint64_t id) {
         auto request = Gateway::request(id);
         request.prefix.clear();  // ties go by session
@@ -50,8 +50,8 @@
     };
     std::uint64_t id = 200;
     while (arrive_alone(++id) != "cold") ASSERT_LT(id, 300U);
-    warm.state = ServerState::draining;
-    g.list({warm}, ListScope::changes);
+    warm.state = EndpointState::draining;
+    g.list({warm}, EndpointUpdateKind::delta);
     for (int i = 0; i < 20; ++i) EXPECT_EQ(arrive_alone(++id), "");
 }
 
@@ -60,16 +60,16 @@
     Gateway g;
     auto writer = server("w", "writer");
     g.list({server("r", "reader"), writer});
-    writer.state = ServerState::draining;
-    g.list({writer}, ListScope::changes);
+    writer.state = EndpointState::draining;
+    g.list({writer}, EndpointUpdateKind::delta);
     auto reader = server("r", "reader");
-    reader.state = ServerState::draining;
-    g.list({reader}, ListScope::changes);
+    reader.state = EndpointState::draining;
+    g.list({reader}, EndpointUpdateKind::delta);
     g.arrive(1);
-    EXPECT_TRUE(g.all<Refuse>().empty());
+    EXPECT_TRUE(g.all<Reject>().empty());
     g.pass(1001ms);  // its aim
     g.step();
-    EXPECT_EQ(g.all<Refuse>().size(), 1U);
+    EXPECT_EQ(g.all<Reject>().size(), 1U);
 }
 
 // The readers that keep a prefix are those of the list in force.
@@ -78,7 +78,7 @@
     settings.gateways = 100;
     Gateway g(settings);
     const std::string prefix = "text";
-    std::vector<ServerEntry> readers;
+    std::vector<Endpoint> readers;
     for (int i = 0; i < 20; ++i) readers.push_back(server("r" + std::to_string(i), "reader"));
     std::sort(readers.begin(), readers.end(), [&](const auto& a, const auto& b) {
         return unit(prefix, a.id.value) > unit(prefix, b.id.value);
@@ -96,8 +96,8 @@
     };
     // Two copies each time: of 20 readers for one arrival, of the last 10 for two.
     EXPECT_TRUE((std::set<std::string>{readers[0].id.value, readers[1].id.value}).contains(read_at(201)));
-    for (int i = 0; i < 10; ++i) listed[static_cast<std::size_t>(i)].state = ServerState::removed;
-    g.list({listed.begin(), listed.begin() + 10}, ListScope::changes);
+    for (int i = 0; i < 10; ++i) listed[static_cast<std::size_t>(i)].state = EndpointState::removed;
+    g.list({listed.begin(), listed.begin() + 10}, EndpointUpdateKind::delta);
     EXPECT_TRUE((std::set<std::string>{readers[10].id.value, readers[11].id.value}).contains(read_at(202)));
 }
 
--- a/tests/policy/fixture.hpp
+++ b/tests/policy/fixture.hpp
@@ -14,22 +14,22 @@
 
 inline Settings plain_settings() {
     Settings s;
-    ClassSettings c;
+    RequestClassSettings c;
     c.name = "talk";
-    c.aim = 1s;
+    c.first_token_objective = 1s;
     c.deadline = 4s;
-    c.token_aim = 50ms;
-    c.worth = 1;
-    c.late_worth = 0.2;
-    c.window = 2s;
+    c.inter_token_objective = 50ms;
+    c.priority_weight = 1;
+    c.late_weight_factor = 0.2;
+    c.deduplication_window = 2s;
     s.classes = {c};
     c.name = "order";
-    c.worth = 3;
-    c.effect = Effect::once;
+    c.priority_weight = 3;
+    c.idempotency = Idempotency::non_idempotent;
     s.classes.push_back(c);
     c.name = "keyed";
-    c.effect = Effect::by_key;
-    c.group = Group::zone;
+    c.idempotency = Idempotency::idempotent_by_key;
+    c.deduplication_scope = DeduplicationScope::zone;
     s.classes.push_back(c);
     s.kinds = {{"reader", Role::prefill, 200'000},
                {"writer", Role::decode, 100'000},
@@ -38,22 +38,22 @@
     s.tick = 4ms;
     s.answer_slack = 16ms;
     s.release_within = 400ms;
-    s.cold_for = 10s;
-    s.cold_from = 0.3;
-    s.fall_multiple = 3;
-    s.fall_window = 2s;
+    s.slow_start_duration = 10s;
+    s.slow_start_initial_capacity = 0.3;
+    s.slow_start_overload_factor = 3;
+    s.slow_start_overload_window = 2s;
     s.dial_timeout = 250ms;
     s.max_retry_after = 500ms;
     s.max_attempts = 4;
-    s.may_cancel = true;
-    s.may_probe = true;
-    s.worth_by_work = true;
+    s.cancellation_enabled = true;
+    s.health_checks_enabled = true;
+    s.weigh_by_work = true;
     return s;
 }
 
-inline ServerEntry server(const std::string& id, const std::string& kind, const std::string& zone = "north",
-                          std::int64_t cell = 0) {
-    ServerEntry e;
+inline Endpoint server(const std::string& id, const std::string& kind, const std::string& zone = "north",
+                       std::int64_t cell = 0) {
+    Endpoint e;
     e.id = {id};
     e.kind = kind;
     e.zone = zone;
@@ -64,33 +64,35 @@
 class Gateway {
 public:
     explicit Gateway(const Settings& settings = plain_settings(), std::uint64_t seed = 1)
-        : brain(settings, seed) {}
+        : router(settings, seed) {}
 
     std::vector<Action> step(std::vector<Event> events = {}) {
-        last = brain.step(now, events);
+        last = router.step(now, events);
         return last;
     }
-    std::vector<Action> list(std::vector<ServerEntry> entries, ListScope scope = ListScope::complete) {
-        return step({ListChanged{scope, std::move(entries)}});
+    std::vector<Action> list(std::vector<Endpoint> entries,
+                             EndpointUpdateKind scope = EndpointUpdateKind::snapshot) {
+        return step({EndpointUpdate{scope, std::move(entries)}});
     }
     std::vector<Action> arrive(std::uint64_t id, const std::string& cls = "talk", double prompt = 1000) {
         return step({request(id, cls, prompt)});
     }
-    static Arrived request(std::uint64_t id, const std::string& cls = "talk", double prompt = 1000) {
-        Arrived a;
+    static RequestArrived request(std::uint64_t id, const std::string& cls = "talk", double prompt = 1000) {
+        RequestArrived a;
         a.id = {id};
         a.class_name = cls;
         a.session = "s" + std::to_string(id);
         a.prefix = "p";
-        a.time_left = 4s;
+        a.time_remaining = 4s;
         a.prompt_tokens = prompt;
         a.max_output = 200;
         return a;
     }
-    std::vector<Action> end(std::uint64_t id, int attempt, const std::string& at, Outcome outcome,
-                            bool finished = false, double remark = 0, std::vector<double> report = {}) {
-        return step(
-            {AttemptEnded{{id}, {attempt}, {at}, outcome, 20ms, finished, remark, std::move(report)}});
+    std::vector<Action> end(std::uint64_t id, int attempt, const std::string& at, AttemptOutcome outcome,
+                            bool finished = false, bool kv_state_missing = false,
+                            std::vector<double> report = {}) {
+        return step({AttemptEnded{
+            {id}, {attempt}, {at}, outcome, 20ms, finished, kv_state_missing, 0, std::move(report)}});
     }
     std::vector<Action> begin_stream(std::uint64_t id, int attempt, const std::string& at) {
         return step({StreamStarted{{id}, {attempt}, {at}, 20ms}});
@@ -110,7 +112,7 @@
         return out;
     }
 
-    Brain brain;
+    Router router;
     Time now{10s};
     std::vector<Action> last;
 };
--- a/tests/policy/fleet_counts_test.cpp
+++ b/tests/policy/fleet_counts_test.cpp
@@ -22,9 +22,9 @@
                                           {{"cold"}, server(Role::decode)},
                                           {{"ejected"}, server(Role::decode)},
                                           {{"drains"}, server(Role::decode)}};
-    servers.at({"cold"}).entry.born = kNow - 4s;
+    servers.at({"cold"}).entry.started_at = kNow - 4s;
     servers.at({"ejected"}).ejection = 1s;
-    servers.at({"drains"}).entry.state = ServerState::draining;
+    servers.at({"drains"}).entry.state = EndpointState::draining;
     FleetCounts counts(10s, 0.4);
     counts.refresh(servers, kNow);
     EXPECT_EQ(counts.warm(Role::prefill), 1);
@@ -37,7 +37,7 @@
 
 TEST(FleetCounts, AreTakenAnewBehindAChangeAndAsServersWarmUp) {
     std::map<ServerId, Server> servers = {{{"a"}, server(Role::decode)}, {{"b"}, server(Role::decode)}};
-    servers.at({"b"}).entry.born = kNow - 4s;
+    servers.at({"b"}).entry.started_at = kNow - 4s;
     FleetCounts counts(10s, 0.4);
     counts.refresh(servers, kNow);
     servers.at({"a"}).ejection = 1s;
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -14,8 +14,8 @@
     s.gateways = 100;
     return s;
 }
-std::vector<ServerEntry> fleet(int readers, int writers, const std::string& zone = "north", int cell = 0) {
-    std::vector<ServerEntry> out;
+std::vector<Endpoint> fleet(int readers, int writers, const std::string& zone = "north", int cell = 0) {
+    std::vector<Endpoint> out;
     const auto name = [&](const char* kind, int i) {
         return kind + zone + std::to_string(cell) + std::to_string(i);
     };
@@ -23,7 +23,7 @@
     for (int i = 0; i < writers; ++i) out.push_back(server(name("w", i), "writer", zone, cell));
     return out;
 }
-std::vector<ServerEntry> operator+(std::vector<ServerEntry> a, const std::vector<ServerEntry>& b) {
+std::vector<Endpoint> operator+(std::vector<Endpoint> a, const std::vector<Endpoint>& b) {
     a.insert(a.end(), b.begin(), b.end());
     return a;
 }
@@ -32,10 +32,10 @@
     g.pass(1s);
     g.arrive(id);
     const auto reader = g.sent_to();
-    g.end(id, 0, reader, Outcome::read);
+    g.end(id, 0, reader, AttemptOutcome::prefilled);
     const auto writer = g.sent_to();
     g.begin_stream(id, 1, writer);
-    g.end(id, 1, writer, Outcome::ok, true);
+    g.end(id, 1, writer, AttemptOutcome::ok, true);
     return {reader, writer};
 }
 
@@ -44,7 +44,7 @@
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
         Gateway g(one_of_many(), seed);
         auto cold = server("r", "reader");
-        cold.born = g.now - 1s;
+        cold.started_at = g.now - 1s;
         g.list({cold, server("w", "writer")});
         g.pass(2s);
         g.arrive(1);
@@ -71,18 +71,20 @@
         Gateway& g = gateways[at];
         g.now = now;
         g.step(std::move(events));
-        for (const auto& wake : g.all<Wake>()) wakes.emplace(wake.at, at);
+        for (const auto& wake : g.all<SetTimer>()) wakes.emplace(wake.at, at);
         for (const auto& send : g.all<Send>()) {
             sent[send.server.value].push_back(now);
             const bool read = send.server.value.front() == 'r';
-            due.emplace(now + (read ? 20ms : 200ms), Due{at, AttemptEnded{send.id,
-                                                                          {read ? 0 : 1},
-                                                                          send.server,
-                                                                          read ? Outcome::read : Outcome::ok,
-                                                                          20ms,
-                                                                          !read,
-                                                                          0,
-                                                                          {}}});
+            due.emplace(now + (read ? 20ms : 200ms),
+                        Due{at, AttemptEnded{send.id,
+                                             {read ? 0 : 1},
+                                             send.server,
+                                             read ? AttemptOutcome::prefilled : AttemptOutcome::ok,
+                                             20ms,
+                                             !read,
+                                             false,
+                                             0,
+                                             {}}});
         }
     }
     // Requests arrive evenly in time; some gateways see several times as many as others.
@@ -106,8 +108,8 @@
             }
         }
     }
-    static Arrived request_of(std::uint64_t id) {
-        Arrived out = Gateway::request(id);
+    static RequestArrived request_of(std::uint64_t id) {
+        RequestArrived out = Gateway::request(id);
         out.prefix.clear();  // any reader is as good
         return out;
     }
@@ -133,17 +135,18 @@
     settings.gateways = count;
     for (int i = 0; i < count; ++i) gateways.emplace_back(settings, static_cast<std::uint64_t>(i + 1));
     const auto warm = fleet(4, 4);
-    for (std::size_t i = 0; i < gateways.size(); ++i) give(i, {ListChanged{ListScope::complete, warm}});
+    for (std::size_t i = 0; i < gateways.size(); ++i)
+        give(i, {EndpointUpdate{EndpointUpdateKind::snapshot, warm}});
     play(20s, rate);
     auto reader = server("r-cold", "reader"), writer = server("w-cold", "writer");
-    reader.born = writer.born = now;
+    reader.started_at = writer.started_at = now;
     for (std::size_t i = 0; i < gateways.size(); ++i)
-        give(i, {ListChanged{ListScope::changes, {reader, writer}}});
+        give(i, {EndpointUpdate{EndpointUpdateKind::delta, {reader, writer}}});
     play(6s, 1.5 * rate);
-    const double bears = settings.fall_multiple * settings.cold_from * rate / 4 *
-                         std::chrono::duration<double>(settings.fall_window).count();
+    const double bears = settings.slow_start_overload_factor * settings.slow_start_initial_capacity * rate /
+                         4 * std::chrono::duration<double>(settings.slow_start_overload_window).count();
     for (const auto* cold : {"r-cold", "w-cold"}) {
-        const double most = most_in(cold, settings.fall_window);
+        const double most = most_in(cold, settings.slow_start_overload_window);
         EXPECT_LE(most, bears + 2 * std::sqrt(bears) + 2) << cold;
         if (bears > 10) {  // else getting none is within the bound
             EXPECT_GT(most, 0) << cold;
@@ -159,15 +162,15 @@
     const auto sent = [](bool one_step) {
         Gateway g(one_of_many());
         g.list(fleet(8, 8));
-        std::vector<Event> crowd;
+        std::vector<Event> client_workload;
         std::size_t out = 0;
         for (std::uint64_t id = 1; id <= 60; ++id) {
-            crowd.emplace_back(Gateway::request(id));
+            client_workload.emplace_back(Gateway::request(id));
             if (one_step) continue;
-            g.step(std::exchange(crowd, {}));
+            g.step(std::exchange(client_workload, {}));
             out += g.all<Send>().size();
         }
-        g.step(crowd);
+        g.step(client_workload);
         return out + g.all<Send>().size();
     };
     EXPECT_EQ(sent(true), sent(false));
@@ -196,7 +199,7 @@
             g.pass(2s);
             g.arrive(++id, "talk", i % 10 == 9 ? each_tenth : usual);
             const auto reader = g.sent_to();
-            g.end(id, 0, reader, Outcome::read, true);
+            g.end(id, 0, reader, AttemptOutcome::prefilled, true);
             if (i >= 200 && i % 10 != 9) readers.insert(reader);
         }
         return readers.size();
@@ -234,9 +237,16 @@
             g.pass(1s);
             g.arrive(id);
             const auto reader = g.sent_to();
-            g.step({AttemptEnded{
-                {id}, {0}, {reader}, Outcome::read, (i * seed) % 4 == 1 ? 110ms : 30ms, false, 0, {}}});
-            g.end(id, 1, g.sent_to(), Outcome::full, true);
+            g.step({AttemptEnded{{id},
+                                 {0},
+                                 {reader},
+                                 AttemptOutcome::prefilled,
+                                 (i * seed) % 4 == 1 ? 110ms : 30ms,
+                                 false,
+                                 false,
+                                 0,
+                                 {}}});
+            g.end(id, 1, g.sent_to(), AttemptOutcome::at_capacity, true);
         }
         return g;
     };
@@ -271,10 +281,10 @@
         g.arrive(1);
         g.pass(150ms);
         g.step();
-        ASSERT_EQ(g.all<Probe>().size(), 1U);
+        ASSERT_EQ(g.all<HealthCheck>().size(), 1U);
         EXPECT_TRUE(g.all<CancelAttempt>().empty());
         g.pass(10ms);
-        g.step({ProbeEnded{{"r"}, answered ? Outcome::ok : Outcome::timeout, 2ms, {}}});
+        g.step({HealthCheckEnded{{"r"}, answered ? AttemptOutcome::ok : AttemptOutcome::timeout, 2ms, {}}});
         EXPECT_EQ(g.all<CancelAttempt>().empty(), answered);
         g.pass(600ms);
         g.step();
@@ -288,11 +298,11 @@
 TEST(Fleet, AProbeThatQueuesProvesNoDeath) {
     Gateway g(one_of_many());
     g.list({server("r", "reader"), server("w", "writer")});
-    g.step({ProbeEnded{{"w"}, Outcome::ok, 200ms, {}}});
+    g.step({HealthCheckEnded{{"w"}, AttemptOutcome::ok, 200ms, {}}});
     g.arrive(1);
     g.pass(150ms);
     g.step();
-    g.step({ProbeEnded{{"r"}, Outcome::timeout, 250ms, {}}});
+    g.step({HealthCheckEnded{{"r"}, AttemptOutcome::timeout, 250ms, {}}});
     EXPECT_TRUE(g.all<CancelAttempt>().empty());
 }
 
@@ -304,20 +314,20 @@
         g.arrive(id);
         const auto reader = g.sent_to();
         if (reader.empty()) continue;
-        g.step({AttemptEnded{{id}, {0}, {reader}, Outcome::read, 3s, false, 0, {}}});
+        g.step({AttemptEnded{{id}, {0}, {reader}, AttemptOutcome::prefilled, 3s, false, false, 0, {}}});
         const auto writer = g.sent_to();
         if (writer.empty()) continue;
         g.begin_stream(id, 1, writer);
-        g.end(id, 1, writer, Outcome::ok, true);
+        g.end(id, 1, writer, AttemptOutcome::ok, true);
     }
     std::size_t taken = 0, refused = 0;
     for (std::uint64_t id = 100; id < 160; ++id) {
         g.pass(2s);
         g.arrive(id);
         taken += g.all<Send>().size();
-        refused += g.all<Refuse>().size();
+        refused += g.all<Reject>().size();
         if (!g.sent_to().empty())
-            g.step({AttemptEnded{{id}, {0}, {g.sent_to()}, Outcome::error, 3s, true, 0, {}}});
+            g.step({AttemptEnded{{id}, {0}, {g.sent_to()}, AttemptOutcome::error, 3s, true, false, 0, {}}});
     }
     EXPECT_GT(refused, 20U);
     EXPECT_GT(taken, 2U);
@@ -330,7 +340,7 @@
     constexpr int kRounds = 50;
     constexpr int kSizes = 10;
     auto s = one_of_many();
-    for (auto& c : s.classes) c.aim_per_1000_tokens = 60ms;
+    for (auto& c : s.classes) c.first_token_objective_per_1000_tokens = 60ms;
     Gateway g(s);
     g.list(fleet(8, 8));
     std::uint64_t id = 0;
@@ -342,10 +352,10 @@
         const auto reader = g.sent_to();
         if (reader.empty()) return false;
         // Half of the aim: the readers are jammed.
-        g.step({AttemptEnded{{id}, {0}, {reader}, Outcome::read, 500ms, false, 0, {}}});
+        g.step({AttemptEnded{{id}, {0}, {reader}, AttemptOutcome::prefilled, 500ms, false, false, 0, {}}});
         const auto writer = g.sent_to();
         g.begin_stream(id, 1, writer);
-        g.end(id, 1, writer, Outcome::ok, true);
+        g.end(id, 1, writer, AttemptOutcome::ok, true);
         return true;
     };
     for (int n = 0; n < 40; ++n) offer("warm" + std::to_string(n), 2000);
@@ -380,19 +390,20 @@
             g.arrive(id);
             const auto reader = g.sent_to();
             if (reader.empty()) continue;
-            g.step({AttemptEnded{{id}, {0}, {reader}, Outcome::read, usual, false, 0, {}}});
-            g.end(id, 1, g.sent_to(), Outcome::full, true);
+            g.step(
+                {AttemptEnded{{id}, {0}, {reader}, AttemptOutcome::prefilled, usual, false, false, 0, {}}});
+            g.end(id, 1, g.sent_to(), AttemptOutcome::at_capacity, true);
         }
         for (; g.sent_to().empty(); g.arrive(++id)) g.pass(1s);
         g.pass(200ms);
         g.step();
-        g.step({ProbeEnded{{"rnorth00"}, Outcome::ok, 2ms, {}}});
+        g.step({HealthCheckEnded{{"rnorth00"}, AttemptOutcome::ok, 2ms, {}}});
         g.pass(850ms);
         g.step();
         ASSERT_EQ(g.all<CancelAttempt>().empty(), usual == Duration{20ms});
         if (usual == Duration{20ms}) continue;
-        g.end(id, 0, "rnorth00", Outcome::cancelled);
-        EXPECT_EQ(g.all<Refuse>().size(), 1U);
+        g.end(id, 0, "rnorth00", AttemptOutcome::cancelled);
+        EXPECT_EQ(g.all<Reject>().size(), 1U);
         EXPECT_TRUE(g.all<Send>().empty());
     }
 }
@@ -405,9 +416,9 @@
         for (int i = 0; i < fulls; ++i, ++id) {
             g.pass(10ms);
             g.arrive(id);
-            g.end(id, 0, g.sent_to(), Outcome::read);
+            g.end(id, 0, g.sent_to(), AttemptOutcome::prefilled);
             g.pass(10ms);
-            g.end(id, 1, g.sent_to(), Outcome::full, true);
+            g.end(id, 1, g.sent_to(), AttemptOutcome::at_capacity, true);
         }
         std::size_t sent = 0;
         for (int i = 0; i < 40; ++i) {
--- a/tests/policy/brain_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -12,57 +12,58 @@
     g.list({server("r", "reader"), server("w", "writer")});
     g.arrive(1);
     EXPECT_EQ(g.sent_to(), "r");
-    g.end(1, 0, "r", Outcome::read);
+    g.end(1, 0, "r", AttemptOutcome::prefilled);
     EXPECT_EQ(g.sent_to(), "w");
     g.begin_stream(1, 1, "w");
-    EXPECT_EQ(g.brain.tracked_requests(), 1U);
-    g.end(1, 1, "w", Outcome::ok, true);
-    EXPECT_EQ(g.brain.tracked_requests(), 0U);
+    EXPECT_EQ(g.router.tracked_requests(), 1U);
+    g.end(1, 1, "w", AttemptOutcome::ok, true);
+    EXPECT_EQ(g.router.tracked_requests(), 0U);
 }
 
 TEST(Settings, NonsenseIsRefusedWithAReason) {
     auto s = plain_settings();
     s.classes.clear();
-    EXPECT_THROW(Brain(s, 1), std::invalid_argument);
+    EXPECT_THROW(Router(s, 1), std::invalid_argument);
     s = plain_settings();
     s.tick = 0ms;
-    EXPECT_THROW(Brain(s, 1), std::invalid_argument);
+    EXPECT_THROW(Router(s, 1), std::invalid_argument);
     s = plain_settings();
     s.classes[0].deadline = 1ms;
-    EXPECT_THROW(Brain(s, 1), std::invalid_argument);
+    EXPECT_THROW(Router(s, 1), std::invalid_argument);
 }
 
 TEST(Rules, DrainingServerGetsNothing) {
     Gateway g;
     auto draining = server("r", "reader");
-    draining.state = ServerState::draining;
+    draining.state = EndpointState::draining;
     g.list({server("r", "reader"), server("w", "writer")});
-    g.list({draining}, ListScope::changes);
+    g.list({draining}, EndpointUpdateKind::delta);
     g.arrive(1);
     EXPECT_EQ(g.sent_to(), "");
 }
 
 TEST(Rules, OnceIsNotRepeatedNorRefusedAfterItMayHaveRun) {
-    for (const auto outcome : {Outcome::error, Outcome::timeout, Outcome::reset, Outcome::cancelled}) {
+    for (const auto outcome :
+         {AttemptOutcome::error, AttemptOutcome::timeout, AttemptOutcome::reset, AttemptOutcome::cancelled}) {
         Gateway g;
         g.list({server("r", "reader"), server("v", "writer"), server("w", "writer")});
         g.arrive(1, "order");
-        g.end(1, 0, "r", Outcome::read);
+        g.end(1, 0, "r", AttemptOutcome::prefilled);
         const auto at = g.sent_to();
         g.end(1, 1, at, outcome);
         EXPECT_EQ(g.all<Send>().size(), 0U);
-        EXPECT_EQ(g.all<Refuse>().size(), 0U);
+        EXPECT_EQ(g.all<Reject>().size(), 0U);
         EXPECT_EQ(g.all<Fail>().size(), 1U);
-        EXPECT_EQ(g.all<Release>().size(), 1U);
+        EXPECT_EQ(g.all<ReleaseKvState>().size(), 1U);
     }
 }
 
 TEST(Rules, OnceGoesAgainWhenProvedNotToHaveRun) {
-    for (const auto outcome : {Outcome::full, Outcome::connect_failed}) {
+    for (const auto outcome : {AttemptOutcome::at_capacity, AttemptOutcome::connect_failed}) {
         Gateway g;
         g.list({server("r", "reader"), server("v", "writer"), server("w", "writer")});
         g.arrive(1, "order");
-        g.end(1, 0, "r", Outcome::read);
+        g.end(1, 0, "r", AttemptOutcome::prefilled);
         const auto first = g.sent_to();
         g.end(1, 1, first, outcome);
         EXPECT_EQ(g.all<Send>().size(), 1U);
@@ -74,22 +75,22 @@
     Gateway g;
     g.list({server("r", "reader"), server("w", "writer", "north"), server("far", "writer", "south", 1)});
     g.arrive(1, "keyed");
-    g.end(1, 0, "r", Outcome::read);
+    g.end(1, 0, "r", AttemptOutcome::prefilled);
     ASSERT_EQ(g.sent_to(), "w");
-    g.end(1, 1, "w", Outcome::error);
+    g.end(1, 1, "w", AttemptOutcome::error);
     EXPECT_NE(g.sent_to(), "far");
-    EXPECT_EQ(g.all<Refuse>().size(), 0U);
+    EXPECT_EQ(g.all<Reject>().size(), 0U);
 }
 
 TEST(Rules, StateIsReleasedWhenTheClientGoes) {
     Gateway g;
     g.list({server("r", "reader"), server("w", "writer")});
     g.arrive(1);
-    g.step({ClientGone{{1}}});
+    g.step({ClientDisconnected{{1}}});
     EXPECT_EQ(g.all<CancelAttempt>().size(), 1U);
-    g.end(1, 0, "r", Outcome::read);  // the read had ended all the same
-    EXPECT_EQ(g.all<Release>().size(), 1U);
-    EXPECT_EQ(g.brain.tracked_requests(), 0U);
+    g.end(1, 0, "r", AttemptOutcome::prefilled);  // the read had ended all the same
+    EXPECT_EQ(g.all<ReleaseKvState>().size(), 1U);
+    EXPECT_EQ(g.router.tracked_requests(), 0U);
 }
 
 // Guards against healthy servers that are taken out by clients who leave while a connection is being made.
@@ -97,7 +98,8 @@
     Gateway g;
     g.list({server("r", "reader"), server("w", "writer")});
     g.arrive(1);
-    g.step({ClientGone{{1}}, AttemptEnded{{1}, {0}, {"r"}, Outcome::connect_failed, 20ms, true, 0, {}}});
+    g.step({ClientDisconnected{{1}},
+            AttemptEnded{{1}, {0}, {"r"}, AttemptOutcome::connect_failed, 20ms, true, false, 0, {}}});
     g.arrive(2);
     EXPECT_EQ(g.sent_to(), "r");
 }
@@ -107,12 +109,12 @@
     g.list({server("r", "reader"), server("w", "writer")});
     g.arrive(1);
     auto gone = server("w", "writer");
-    gone.state = ServerState::removed;
-    g.list({gone}, ListScope::changes);
-    g.end(1, 0, "r", Outcome::read);
-    EXPECT_EQ(g.all<Release>().size(), 0U);
+    gone.state = EndpointState::removed;
+    g.list({gone}, EndpointUpdateKind::delta);
+    g.end(1, 0, "r", AttemptOutcome::prefilled);
+    EXPECT_EQ(g.all<ReleaseKvState>().size(), 0U);
     const Time ended = g.now;
-    while (g.all<Release>().empty() && g.now < ended + 1s) {
+    while (g.all<ReleaseKvState>().empty() && g.now < ended + 1s) {
         g.pass(4ms);
         g.step();
     }
@@ -125,37 +127,40 @@
     Gateway g;
     g.list({server("r", "reader"), server("u", "writer"), server("v", "writer"), server("w", "writer")});
     g.arrive(1);
-    g.end(1, 0, "r", Outcome::read);
+    g.end(1, 0, "r", AttemptOutcome::prefilled);
     for (int attempt = 1; attempt <= 2; ++attempt) {  // a third would be allowed
-        EXPECT_EQ(g.all<Release>().size(), 0U);
+        EXPECT_EQ(g.all<ReleaseKvState>().size(), 0U);
         const auto at = g.sent_to();
         g.pass(250ms);
-        g.end(1, attempt, at, Outcome::connect_failed);
+        g.end(1, attempt, at, AttemptOutcome::connect_failed);
     }
-    EXPECT_EQ(g.all<Release>().size(), 1U);
+    EXPECT_EQ(g.all<ReleaseKvState>().size(), 1U);
 }
 
 // The same behind a write that breaks, is given up or called off without an answer: it may lie unread.
 TEST(Rules, StatesTimeRunsOnOverEndsWithoutAnAnswer) {
-    for (const auto outcome : {Outcome::reset, Outcome::timeout, Outcome::cancelled, Outcome::full}) {
+    for (const auto outcome : {AttemptOutcome::reset, AttemptOutcome::timeout, AttemptOutcome::cancelled,
+                               AttemptOutcome::at_capacity}) {
         Gateway g;
         g.list({server("r", "reader"), server("w", "writer")});
         g.arrive(1);
-        g.end(1, 0, "r", Outcome::read);
+        g.end(1, 0, "r", AttemptOutcome::prefilled);
         ASSERT_EQ(g.sent_to(), "w");
         auto gone = server("w", "writer");
-        gone.state = ServerState::removed;
-        g.list({gone}, ListScope::changes);  // nobody is left to write
+        gone.state = EndpointState::removed;
+        g.list({gone}, EndpointUpdateKind::delta);  // nobody is left to write
         const Time held = g.now;
         g.pass(300ms);
         g.end(1, 1, "w", outcome);
-        while (g.all<Release>().empty() && g.now < held + 2s) {
+        while (g.all<ReleaseKvState>().empty() && g.now < held + 2s) {
             g.pass(4ms);
             g.step();
         }
         // An answer proves that the write had come: the state has its whole time again.
-        EXPECT_LT(g.now - held, outcome == Outcome::full ? 700ms : 400ms) << static_cast<int>(outcome);
-        EXPECT_GE(g.now - held, outcome == Outcome::full ? 600ms : 300ms) << static_cast<int>(outcome);
+        EXPECT_LT(g.now - held, outcome == AttemptOutcome::at_capacity ? 700ms : 400ms)
+            << static_cast<int>(outcome);
+        EXPECT_GE(g.now - held, outcome == AttemptOutcome::at_capacity ? 600ms : 300ms)
+            << static_cast<int>(outcome);
     }
 }
 
@@ -164,12 +169,12 @@
     g.list({server("w", "writer")});  // none that reads
     g.arrive(1);
     const Time start = g.now;
-    while (g.all<Refuse>().empty() && g.now < start + 5s) {
+    while (g.all<Reject>().empty() && g.now < start + 5s) {
         g.pass(4ms);
         g.step();
     }
     EXPECT_LT(g.now - start, 4s);
-    EXPECT_EQ(g.brain.tracked_requests(), 0U);
+    EXPECT_EQ(g.router.tracked_requests(), 0U);
 }
 
 // A step that comes a tick late finds the deadline over: what was never sent is given up before, and refused.
@@ -179,7 +184,7 @@
     g.arrive(1);
     g.pass(4s - 6ms);
     g.step();
-    EXPECT_EQ(g.all<Refuse>().size(), 1U);
+    EXPECT_EQ(g.all<Reject>().size(), 1U);
     EXPECT_EQ(g.all<Fail>().size(), 0U);
 }
 
@@ -189,21 +194,21 @@
     g.list({server("r", "reader")});
     g.arrive(1);
     const Time start = g.now;
-    while (g.all<Refuse>().empty() && g.now < start + 5s) {
+    while (g.all<Reject>().empty() && g.now < start + 5s) {
         g.pass(4ms);
         g.step();
     }
-    EXPECT_LE(g.now - start, plain_settings().classes[0].aim + 8ms);
+    EXPECT_LE(g.now - start, plain_settings().classes[0].first_token_objective + 8ms);
 }
 
 TEST(Rules, ColdServerGetsOneRequestAWindowWhileNothingIsKnown) {
     Gateway g;
     auto cold = server("w", "writer");
-    cold.born = g.now - 1s;
+    cold.started_at = g.now - 1s;
     g.list({server("r", "reader"), cold});
     for (std::uint64_t id = 1; id <= 4; ++id) {
         g.arrive(id);
-        if (g.sent_to() == "r") g.end(id, 0, "r", Outcome::read);
+        if (g.sent_to() == "r") g.end(id, 0, "r", AttemptOutcome::prefilled);
         EXPECT_EQ(g.sent_to(), id == 1 ? "w" : "") << id;
     }
 }
@@ -228,9 +233,9 @@
         for (; fulls > 0; --fulls, ++id) {
             g.pass(1s);
             g.arrive(id);
-            g.end(id, 0, "r", Outcome::read);
-            g.end(id, 1, "w", Outcome::full);
-            g.step({ClientGone{{id}}});
+            g.end(id, 0, "r", AttemptOutcome::prefilled);
+            g.end(id, 1, "w", AttemptOutcome::at_capacity);
+            g.step({ClientDisconnected{{id}}});
         }
         int sent = 0;
         for (const auto last = id + 200; id < last; ++id) {
@@ -250,17 +255,17 @@
         for (; id <= 3; ++id) {
             g.pass(2s);
             g.arrive(id);
-            g.end(id, 0, "r", Outcome::read);
+            g.end(id, 0, "r", AttemptOutcome::prefilled);
             g.pass(first_token);
             g.step({StreamStarted{{id}, {1}, {"w"}, first_token}});
-            g.end(id, 1, "w", Outcome::ok, true);
+            g.end(id, 1, "w", AttemptOutcome::ok, true);
         }
         int sent = 0;
         for (const auto last = id + 200; id < last; ++id) {
             g.arrive(id);
             if (g.sent_to() != "r") continue;
             ++sent;
-            g.end(id, 0, "r", Outcome::read);
+            g.end(id, 0, "r", AttemptOutcome::prefilled);
         }
         return sent;
     };
@@ -273,8 +278,8 @@
     Gateway g(settings);
     g.list({server("r", "reader"), server("w", "writer")});
     g.arrive(1);
-    g.end(1, 0, "r", Outcome::read);
-    g.end(1, 1, "w", Outcome::ok, true, 0, {40, 0.99});
+    g.end(1, 0, "r", AttemptOutcome::prefilled);
+    g.end(1, 1, "w", AttemptOutcome::ok, true, 0, {40, 0.99});
     g.arrive(2);
     EXPECT_EQ(g.sent_to(), "");  // held before its read
     g.pass(3500ms);
@@ -287,7 +292,8 @@
     Gateway g;
     g.list({server("r", "reader"), server("v", "writer"), server("w", "writer")});
     g.arrive(1);
-    g.step({AttemptEnded{{1}, {0}, {"r"}, Outcome::read, 300ms, false, 0, {}}});  // 0.2 ms a token
+    g.step({AttemptEnded{
+        {1}, {0}, {"r"}, AttemptOutcome::prefilled, 300ms, false, false, 0, {}}});  // 0.2 ms a token
     int sent = 0;
     for (std::uint64_t id = 10; id < 30; ++id) {
         auto a = Gateway::request(id);
@@ -310,7 +316,7 @@
             g.pass(100ms);
             if (busy) {
                 g.arrive(static_cast<std::uint64_t>(100 + i));
-                g.end(static_cast<std::uint64_t>(100 + i), 0, "r", Outcome::read);
+                g.end(static_cast<std::uint64_t>(100 + i), 0, "r", AttemptOutcome::prefilled);
             } else {
                 g.step();
             }
@@ -324,12 +330,12 @@
     Gateway g;
     g.list({server("r", "reader"), server("v", "writer"), server("w", "writer")});
     g.arrive(1);
-    g.end(1, 0, "r", Outcome::read);
+    g.end(1, 0, "r", AttemptOutcome::prefilled);
     for (int attempt = 1; attempt <= 3 && !g.sent_to().empty(); ++attempt) {
-        g.end(1, attempt, g.sent_to(), Outcome::connect_failed);
+        g.end(1, attempt, g.sent_to(), AttemptOutcome::connect_failed);
         g.pass(4ms);
     }
-    EXPECT_TRUE(g.all<Refuse>().empty());  // an attempt is left, and waits for its time
+    EXPECT_TRUE(g.all<Reject>().empty());  // an attempt is left, and waits for its time
     g.pass(250ms);
     g.step();
     EXPECT_FALSE(g.sent_to().empty());
@@ -339,12 +345,12 @@
     Gateway g;
     g.list({server("r", "reader"), server("v", "writer"), server("w", "writer")});
     g.arrive(1);
-    g.end(1, 0, "r", Outcome::read);
+    g.end(1, 0, "r", AttemptOutcome::prefilled);
     const auto erring = g.sent_to();
-    g.end(1, 1, erring, Outcome::error);
+    g.end(1, 1, erring, AttemptOutcome::error);
     const auto other = g.sent_to();
     g.arrive(2, "order");  // the other writer is the busier one now
-    g.end(2, 0, "r", Outcome::read);
+    g.end(2, 0, "r", AttemptOutcome::prefilled);
     EXPECT_EQ(g.sent_to(), other);
 }
 
@@ -354,13 +360,13 @@
         auto lone = server("r", "reader", "north", 0);
         g.list({lone, server("far", "writer", "north", 1)});
         g.arrive(1);
-        g.end(1, 0, "r", Outcome::read);
+        g.end(1, 0, "r", AttemptOutcome::prefilled);
         g.step({StreamStarted{{1}, {1}, {"far"}, far_pull}});
-        g.end(1, 1, "far", Outcome::ok, true);
-        g.list({server("near", "writer", "north", 0)}, ListScope::changes);
+        g.end(1, 1, "far", AttemptOutcome::ok, true);
+        g.list({server("near", "writer", "north", 0)}, EndpointUpdateKind::delta);
         for (std::uint64_t id = 2; id < 8; ++id) {  // the near writer carries some streams already
             g.arrive(id);
-            g.end(id, 0, "r", Outcome::read);
+            g.end(id, 0, "r", AttemptOutcome::prefilled);
             if (g.sent_to() != "near") return g.sent_to();
         }
         return std::string("near");
@@ -388,14 +394,14 @@
     for (const std::string& holder : {std::string("q"), std::string("r")}) {
         Gateway g;
         g.list({server("q", "reader"), server("r", "reader"), server("w", "writer")});
-        g.step({PrefixesTold{{"q"}, true}, PrefixesTold{{"r"}, true}});
+        g.step({CacheReportingChanged{{"q"}, true}, CacheReportingChanged{{"r"}, true}});
         for (std::uint64_t id = 1; id <= 6; ++id) {
             auto a = Gateway::request(id, "talk", 10'000);
             a.session = "s" + std::to_string(id % 3);
-            a.known = {{{holder}, 9000}};
+            a.cached_prefixes = {{{holder}, 9000}};
             g.step({a});
             EXPECT_EQ(g.sent_to(), holder);
-            g.end(id, 0, holder, Outcome::read, true);
+            g.end(id, 0, holder, AttemptOutcome::prefilled, true);
         }
     }
 }
@@ -406,15 +412,15 @@
     g.step({first});
     const auto home = g.sent_to();
     const std::string other = home == "q" ? "r" : "q";
-    g.end(1, 0, home, Outcome::read, true);
-    g.step({PrefixesTold{{home}, true}});  // it names nothing of the next
+    g.end(1, 0, home, AttemptOutcome::prefilled, true);
+    g.step({CacheReportingChanged{{home}, true}});  // it names nothing of the next
     auto next = Gateway::request(2, "talk", 10'000);
     next.session = first.session;
-    next.known = {{{other}, 5000}};  // not told of: its word does not count
+    next.cached_prefixes = {{{other}, 5000}};  // not told of: its word does not count
     g.step({next});
     EXPECT_EQ(g.sent_to(), home);  // both seem empty: the tie is as before
-    g.end(2, 0, home, Outcome::read, true);
-    g.step({PrefixesTold{{other}, true}});
+    g.end(2, 0, home, AttemptOutcome::prefilled, true);
+    g.step({CacheReportingChanged{{other}, true}});
     next.id = {3};
     g.step({next});
     EXPECT_EQ(g.sent_to(), other);
@@ -422,11 +428,11 @@
 TEST(Reader, PopularTextSpreadsOverReadersWhereItIsTold) {
     Gateway g;
     g.list({server("q", "reader"), server("r", "reader"), server("w", "writer")});
-    g.step({PrefixesTold{{"q"}, true}, PrefixesTold{{"r"}, true}});
+    g.step({CacheReportingChanged{{"q"}, true}, CacheReportingChanged{{"r"}, true}});
     std::set<std::string> readers;
     for (std::uint64_t id = 1; id <= 8; ++id) {  // none of them read yet
         auto a = Gateway::request(id, "talk", 10'000);
-        a.known = {{{"q"}, 6000}};
+        a.cached_prefixes = {{{"q"}, 6000}};
         g.step({a});
         readers.insert(g.sent_to());
     }
@@ -437,13 +443,13 @@
     for (const bool drains : {false, true}) {
         Gateway g;
         g.list({server("q", "reader"), server("r", "reader"), server("w", "writer")});
-        g.step({PrefixesTold{{"q"}, true}, PrefixesTold{{"r"}, true}});
+        g.step({CacheReportingChanged{{"q"}, true}, CacheReportingChanged{{"r"}, true}});
         // Reads are slow: a second one at the same reader would take too much of the aim.
         for (std::uint64_t id = 1; id <= 4; ++id) {
             g.step({Gateway::request(id, "talk", 3000)});
             const auto at = g.sent_to();
             g.pass(900ms);
-            g.step({AttemptEnded{{id}, {0}, {at}, Outcome::read, 900ms, true, 0, {}}});
+            g.step({AttemptEnded{{id}, {0}, {at}, AttemptOutcome::prefilled, 900ms, true, false, 0, {}}});
         }
         auto a = Gateway::request(10, "talk", 3000);
         g.step({a});
@@ -451,10 +457,10 @@
         const std::string other = holder == "q" ? "r" : "q";
         if (drains) {
             auto q = server(holder, "reader");
-            q.state = ServerState::draining;
-            g.list({q}, ListScope::changes);
+            q.state = EndpointState::draining;
+            g.list({q}, EndpointUpdateKind::delta);
         }
-        a.known = {{{holder}, 3000}};
+        a.cached_prefixes = {{{holder}, 3000}};
         a.id = {11};
         a.prompt_tokens = 4000;
         g.step({a});
@@ -474,17 +480,17 @@
     Gateway g;
     auto q = server("q", "reader");
     g.list({q, server("r", "reader"), server("w", "writer")});
-    g.step({PrefixesTold{{"q"}, true}, PrefixesTold{{"nobody"}, true}});
-    q.born = g.now;
+    g.step({CacheReportingChanged{{"q"}, true}, CacheReportingChanged{{"nobody"}, true}});
+    q.started_at = g.now;
     g.list({q, server("r", "reader"), server("w", "writer")});
     auto a = Gateway::request(1, "talk", 10'000);
-    a.known = {{{"q"}, 10'000}};
+    a.cached_prefixes = {{{"q"}, 10'000}};
     g.pass(30s);
     Gateway plain;
     plain.list({q, server("r", "reader"), server("w", "writer")});
     plain.pass(30s);
     g.step({a});
-    a.known.clear();
+    a.cached_prefixes.clear();
     plain.step({a});
     EXPECT_EQ(g.sent_to(), plain.sent_to());
 }
@@ -496,7 +502,7 @@
         int sent = 0;
         for (std::uint64_t id = 1; id <= 400; ++id) {
             auto a = Gateway::request(id, "talk", 100);
-            a.length_hint = hint;  // at 50 ms a token
+            a.output_duration_hint = hint;  // at 50 ms a token
             a.max_output = cap;
             g.step({a});
             sent += static_cast<int>(g.all<Send>().size());
@@ -531,8 +537,8 @@
     Gateway g;
     g.list({server("r", "reader"), server("w", "writer")});
     g.arrive(1);
-    g.end(1, 0, "r", Outcome::read);
-    g.end(1, 1, "w", Outcome::full, false, 1);
+    g.end(1, 0, "r", AttemptOutcome::prefilled);
+    g.end(1, 1, "w", AttemptOutcome::at_capacity, false, true);
     EXPECT_EQ(g.sent_to(), "r");
 }
 
@@ -541,16 +547,16 @@
     g.list({server("r", "reader"), server("q", "reader"), server("w", "writer")});
     g.arrive(1);
     const auto bad = g.sent_to();
-    g.end(1, 0, bad, Outcome::connect_failed);
+    g.end(1, 0, bad, AttemptOutcome::connect_failed);
     const auto good = g.sent_to();
     ASSERT_NE(good, bad);
     g.arrive(2);
     EXPECT_EQ(g.sent_to(), good);
     g.pass(1100ms);
     g.step();
-    ASSERT_EQ(g.all<Probe>().size(), 1U);
-    EXPECT_EQ(g.all<Probe>()[0].server.value, bad);
-    g.step({ProbeEnded{{bad}, Outcome::ok, 1ms, {}}});
+    ASSERT_EQ(g.all<HealthCheck>().size(), 1U);
+    EXPECT_EQ(g.all<HealthCheck>()[0].server.value, bad);
+    g.step({HealthCheckEnded{{bad}, AttemptOutcome::ok, 1ms, {}}});
     g.arrive(3);
     EXPECT_EQ(g.sent_to(), bad);
 }
@@ -572,14 +578,14 @@
     }
     void run() {
         for (int tick = 0; tick < 3000; ++tick) one_tick(tick < 2000);
-        EXPECT_EQ(gateway_.brain.tracked_requests(), 0U);
+        EXPECT_EQ(gateway_.router.tracked_requests(), 0U);
         EXPECT_TRUE(open_.empty());
         EXPECT_GT(last_id_, 500U);
     }
 
 private:
     struct Open {
-        Effect effect{};
+        Idempotency effect{};
         Time deadline{};
         std::string out;  // where an attempt is out
         Time sent{};
@@ -594,7 +600,7 @@
     };
     int roll(int n) { return std::uniform_int_distribution<int>(0, n - 1)(random_); }
     void publish() {
-        std::vector<ServerEntry> list;
+        std::vector<Endpoint> list;
         for (const auto& [id, e] : entries_) list.push_back(e);
         check(gateway_.list(list));
     }
@@ -604,10 +610,10 @@
         if (arrivals && roll(3) == 0) {
             const auto cls = static_cast<std::size_t>(roll(3));
             auto a = Gateway::request(++last_id_, settings_.classes[cls].name, 100 + roll(5000));
-            a.time_left = std::chrono::milliseconds(200 + roll(3800));
+            a.time_remaining = std::chrono::milliseconds(200 + roll(3800));
             if (roll(4) == 0) a.prefix.clear();
-            open_[last_id_].effect = settings_.classes[cls].effect;
-            open_[last_id_].deadline = gateway_.now + a.time_left;
+            open_[last_id_].effect = settings_.classes[cls].idempotency;
+            open_[last_id_].deadline = gateway_.now + a.time_remaining;
             events.emplace_back(a);
         }
         for (auto& [id, o] : open_) {
@@ -615,15 +621,15 @@
                 if (!o.answered && roll(400) == 0) hang_up(id, o, events);
                 continue;
             }
-            if (!o.streaming && gateway_.now >= o.deadline) end(id, o, Outcome::timeout, events);
+            if (!o.streaming && gateway_.now >= o.deadline) end(id, o, AttemptOutcome::timeout, events);
             else if (o.streaming ? roll(20) == 0 : roll(15) == 0) progress(id, o, events);
         }
         if (roll(100) == 0) {
             auto it = entries_.begin();
             std::advance(it, roll(static_cast<int>(entries_.size())));
-            it->second.state = roll(2) == 0 ? ServerState::up : ServerState::draining;
-            if (roll(3) == 0) it->second.born = gateway_.now;
-            events.emplace_back(ListChanged{ListScope::changes, {it->second}});
+            it->second.state = roll(2) == 0 ? EndpointState::up : EndpointState::draining;
+            if (roll(3) == 0) it->second.started_at = gateway_.now;
+            events.emplace_back(EndpointUpdate{EndpointUpdateKind::delta, {it->second}});
         }
         check(gateway_.step(events));
         std::erase_if(open_, [](const auto& p) {
@@ -632,32 +638,41 @@
     }
     void hang_up(std::uint64_t id, Open& o, std::vector<Event>& events) {
         o.answered = true;
-        events.emplace_back(ClientGone{{id}});
+        events.emplace_back(ClientDisconnected{{id}});
     }
     void progress(std::uint64_t id, Open& o, std::vector<Event>& events) {
         const bool reader = o.out[0] == 'r';
-        static constexpr Outcome kBad[] = {Outcome::error, Outcome::full, Outcome::connect_failed,
-                                           Outcome::reset};
+        static constexpr AttemptOutcome kBad[] = {AttemptOutcome::error, AttemptOutcome::at_capacity,
+                                                  AttemptOutcome::connect_failed, AttemptOutcome::reset};
         if (!o.streaming && roll(4) == 0) return end(id, o, kBad[roll(4)], events);
-        if (reader) return end(id, o, Outcome::read, events);
-        if (o.streaming) return end(id, o, Outcome::ok, events);
-        if (o.out[0] == 'w' && !o.state) return end(id, o, Outcome::full, events, 1);
+        if (reader) return end(id, o, AttemptOutcome::prefilled, events);
+        if (o.streaming) return end(id, o, AttemptOutcome::ok, events);
+        if (o.out[0] == 'w' && !o.state) return end(id, o, AttemptOutcome::at_capacity, events, true);
         o.streaming = true;
         o.state = false;
         events.emplace_back(StreamStarted{{id}, {o.sends - 1}, {o.out}, gateway_.now - o.sent});
     }
-    void end(std::uint64_t id, Open& o, Outcome outcome, std::vector<Event>& events, double remark = 0) {
+    void end(std::uint64_t id, Open& o, AttemptOutcome outcome, std::vector<Event>& events,
+             bool kv_state_missing = false) {
         const bool writer = o.out[0] != 'r';
-        if (writer && outcome != Outcome::full && outcome != Outcome::connect_failed && !o.may_have_run) {
+        if (writer && outcome != AttemptOutcome::at_capacity && outcome != AttemptOutcome::connect_failed &&
+            !o.may_have_run) {
             o.may_have_run = true;
             o.ran_zone = entries_[o.out].zone;
             o.ran_sent = o.sent;
         }
-        if (outcome == Outcome::read) o.state = true;
-        if (remark == 1) o.state = false;
+        if (outcome == AttemptOutcome::prefilled) o.state = true;
+        if (kv_state_missing) o.state = false;
         if (o.streaming) o.answered = true;
-        events.emplace_back(AttemptEnded{
-            {id}, {o.sends - 1}, {o.out}, outcome, gateway_.now - o.sent, o.answered, remark, {}});
+        events.emplace_back(AttemptEnded{{id},
+                                         {o.sends - 1},
+                                         {o.out},
+                                         outcome,
+                                         gateway_.now - o.sent,
+                                         o.answered,
+                                         kv_state_missing,
+                                         0,
+                                         {}});
         o.out.clear();
         o.streaming = false;
         o.pinned_since = gateway_.now;
@@ -669,26 +684,26 @@
                 auto& o = open_.at(send->id.value);
                 EXPECT_FALSE(o.answered) << "sent after its answer";
                 EXPECT_TRUE(o.out.empty()) << "two attempts out";
-                EXPECT_EQ(entries_.at(send->server.value).state, ServerState::up) << "drain broken";
+                EXPECT_EQ(entries_.at(send->server.value).state, EndpointState::up) << "drain broken";
                 EXPECT_LT(o.sends, settings_.max_attempts);
                 if (send->server.value[0] != 'r' && o.may_have_run) {
-                    EXPECT_NE(o.effect, Effect::once);
-                    if (o.effect == Effect::by_key) {
+                    EXPECT_NE(o.effect, Idempotency::non_idempotent);
+                    if (o.effect == Idempotency::idempotent_by_key) {
                         EXPECT_EQ(entries_.at(send->server.value).zone, o.ran_zone);
-                        EXPECT_LE(gateway_.now, o.ran_sent + settings_.classes[2].window);
+                        EXPECT_LE(gateway_.now, o.ran_sent + settings_.classes[2].deduplication_window);
                     }
                 }
                 o.out = send->server.value;
                 o.sent = gateway_.now;
                 ++o.sends;
-            } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+            } else if (const auto* refuse = std::get_if<Reject>(&action)) {
                 const auto& o = open_.at(refuse->id.value);
-                EXPECT_TRUE(!o.may_have_run || o.effect == Effect::repeatable)
+                EXPECT_TRUE(!o.may_have_run || o.effect == Idempotency::idempotent)
                     << "refused after it may have run";
                 answer(refuse->id.value);
             } else if (const auto* fail = std::get_if<Fail>(&action)) {
                 answer(fail->id.value);
-            } else if (const auto* release = std::get_if<Release>(&action)) {
+            } else if (const auto* release = std::get_if<ReleaseKvState>(&action)) {
                 if (auto it = open_.find(release->id.value); it != open_.end()) it->second.state = false;
             } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
                 cancelled.push_back(cancel->id.value);
@@ -704,7 +719,7 @@
         for (const auto id : cancelled) {
             auto& o = open_.at(id);
             std::vector<Event> events;
-            if (!o.out.empty()) end(id, o, Outcome::cancelled, events);
+            if (!o.out.empty()) end(id, o, AttemptOutcome::cancelled, events);
             check(gateway_.step(events));
         }
     }
@@ -718,7 +733,7 @@
     Settings settings_;
     std::mt19937 random_;
     Gateway gateway_;
-    std::map<std::string, ServerEntry> entries_;
+    std::map<std::string, Endpoint> entries_;
     std::map<std::uint64_t, Open> open_;
     std::uint64_t last_id_ = 0;
 };
@@ -726,11 +741,11 @@
 TEST(Property, RulesHoldOnRandomLegalSequences) {
     for (unsigned seed = 1; seed <= 16; ++seed) {
         auto settings = plain_settings();
-        if (seed % 2 == 0) settings.may_probe = false;
-        if (seed % 3 == 0) settings.may_cancel = false;
-        if (seed % 4 == 0) settings.must_ask_for_list = true;
+        if (seed % 2 == 0) settings.health_checks_enabled = false;
+        if (seed % 3 == 0) settings.cancellation_enabled = false;
+        if (seed % 4 == 0) settings.endpoint_watch_required = true;
         if (seed % 5 == 0) settings.max_attempts = 2;
-        if (seed % 6 == 0) settings.read_in_place = true;
+        if (seed % 6 == 0) settings.prefill_on_decode_enabled = true;
         if (seed > 12) settings.gateways = 100;
         SCOPED_TRACE(seed);
         World(settings, seed).run();
@@ -745,7 +760,7 @@
         for (std::uint64_t id = 1; id < 40; ++id) {
             g.arrive(id);
             const auto at = g.sent_to();
-            g.end(id, 0, at, Outcome::read);
+            g.end(id, 0, at, AttemptOutcome::prefilled);
             trace += at + g.sent_to();
         }
         return trace;
@@ -756,10 +771,10 @@
 TEST(Robust, UnknownAndRepeatedEventsPassWithoutEffect) {
     Gateway g;
     g.list({});
-    g.end(9, 0, "x", Outcome::ok);
+    g.end(9, 0, "x", AttemptOutcome::ok);
     g.begin_stream(9, 0, "x");
-    g.step({ClientGone{{9}}, TimerFired{{77}}, ProbeEnded{{"x"}, Outcome::error, 1ms, {}},
-            PeerMessage{1, "00"}});
+    g.step({ClientDisconnected{{9}}, TimerFired{{77}},
+            HealthCheckEnded{{"x"}, AttemptOutcome::error, 1ms, {}}, PeerMessage{1, "00"}});
     EXPECT_TRUE(g.last.empty());
 }
 
@@ -772,14 +787,14 @@
     g.list({server("r1", "reader", "south"), server("w1", "writer", "north")});
     g.arrive(1, "keyed");
     EXPECT_EQ(g.sent_to(), "r1");
-    g.end(1, 0, "r1", Outcome::read);
+    g.end(1, 0, "r1", AttemptOutcome::prefilled);
     EXPECT_EQ(g.sent_to(), "w1");
-    g.end(1, 1, "w1", Outcome::reset);
-    g.list({server("w2", "writer", "north")}, ListScope::changes);
+    g.end(1, 1, "w1", AttemptOutcome::reset);
+    g.list({server("w2", "writer", "north")}, EndpointUpdateKind::delta);
     EXPECT_EQ(g.sent_to(), "w2");
-    g.end(1, 2, "w2", Outcome::full, false, 1);  // the state is gone: to be read anew
+    g.end(1, 2, "w2", AttemptOutcome::at_capacity, false, true);  // the state is gone: to be read anew
     EXPECT_EQ(g.sent_to(), "");
-    g.list({server("r2", "reader", "north")}, ListScope::changes);
+    g.list({server("r2", "reader", "north")}, EndpointUpdateKind::delta);
     EXPECT_EQ(g.sent_to(), "r2");
 }
 
@@ -787,7 +802,7 @@
 TEST(Tenants, AreToldApartByTheirExactNames) {
     auto s = plain_settings();
     s.tenants = {{"north", 1}, {"North", 1}};
-    s.over_share_worth = 0.1;
+    s.over_quota_weight_factor = 0.1;
     Gateway g(s);
     std::uint64_t id = 0;
     for (const auto* tenant : {"north", "north", "North", "NORTH", ""}) {
@@ -807,17 +822,17 @@
     for (const bool late : {false, true}) {
         Gateway g;
         g.arrive(1);  // held: no server is listed
-        ASSERT_EQ(g.all<Wake>().size(), 1U);
-        g.now = g.all<Wake>()[0].at + (late ? 300ms : 100ms);
-        g.step({Gateway::request(2), TimerFired{g.all<Wake>()[0].id}});
-        ASSERT_EQ(g.all<Refuse>().size(), late ? 1U : 0U);
+        ASSERT_EQ(g.all<SetTimer>().size(), 1U);
+        g.now = g.all<SetTimer>()[0].at + (late ? 300ms : 100ms);
+        g.step({Gateway::request(2), TimerFired{g.all<SetTimer>()[0].id}});
+        ASSERT_EQ(g.all<Reject>().size(), late ? 1U : 0U);
         if (!late) continue;
-        EXPECT_EQ(g.all<Refuse>()[0].id.value, 2U);
-        EXPECT_GT(g.all<Refuse>()[0].retry_after, Duration::zero());
-        ASSERT_EQ(g.all<Wake>().size(), 1U);
-        g.now = g.all<Wake>()[0].at;
-        g.step({TimerFired{g.all<Wake>()[0].id}, Gateway::request(3)});
-        EXPECT_TRUE(g.all<Refuse>().empty());  // it has caught up
+        EXPECT_EQ(g.all<Reject>()[0].id.value, 2U);
+        EXPECT_GT(g.all<Reject>()[0].retry_after, Duration::zero());
+        ASSERT_EQ(g.all<SetTimer>().size(), 1U);
+        g.now = g.all<SetTimer>()[0].at;
+        g.step({TimerFired{g.all<SetTimer>()[0].id}, Gateway::request(3)});
+        EXPECT_TRUE(g.all<Reject>().empty());  // it has caught up
         g.list({server("r1", "reader"), server("w1", "writer")});
         EXPECT_EQ(g.all<Send>().size(), 2U);
     }
--- a/tests/prefix/knowledge_test.cpp
+++ b/tests/prefix/knowledge_test.cpp
@@ -27,7 +27,7 @@
     const auto changes = k.changes();
     ASSERT_EQ(changes.size(), 1U);
     EXPECT_EQ(changes[0].server.value, "a");
-    EXPECT_TRUE(changes[0].told);
+    EXPECT_TRUE(changes[0].reporting);
     EXPECT_TRUE(k.changes().empty());
     EXPECT_EQ(claimed(k, "a"), 4 * kTokens);
     EXPECT_FALSE(k.told("b"));
@@ -57,7 +57,7 @@
     for (; k.told("a"); ++wrong) k.observed("a", {20, 16, 0, 10ms});
     EXPECT_GE(wrong, 3);
     EXPECT_LE(wrong, 8);
-    EXPECT_FALSE(k.changes().at(0).told);
+    EXPECT_FALSE(k.changes().at(0).reporting);
     EXPECT_EQ(claimed(k, "a"), 16);  // still looked at, or nothing could bear it out
     int right = 0;
     for (; !k.told("a"); ++right) k.observed("a", {20, 16, 16, 10ms});
@@ -131,7 +131,7 @@
     k.gone("a");
     const auto changes = k.changes();
     ASSERT_EQ(changes.size(), 1U);
-    EXPECT_FALSE(changes[0].told);
+    EXPECT_FALSE(changes[0].reporting);
     k.listed("b", "m", {});
     EXPECT_EQ(claimed(k, "b"), 0);
     EXPECT_EQ(k.counts().blocks, 0U);
