--- a/adapter/host.cpp
+++ b/adapter/host.cpp
@@ -10,7 +10,7 @@
 namespace chalksail::wire {
 namespace {
 
-struct Instance {
+struct EndpointEntry {
     std::optional<Router> router;
     std::vector<Event> events;
 };
@@ -33,7 +33,7 @@
             open_ = false;
         } else if (auto* started = std::get_if<Started>(&line)) {
             try {
-                instances_[started->instance] = Instance{Router(started->settings, started->seed), {}};
+                instances_[started->instance] = EndpointEntry{Router(started->settings, started->seed), {}};
             } catch (const std::invalid_argument& error) {
                 throw BadLine(std::string("field 'options': ") + error.what());
             }
@@ -47,19 +47,19 @@
     }
 
 private:
-    Instance& find(const std::string& name) {
+    EndpointEntry& find(const std::string& name) {
         const auto it = instances_.find(name);
         if (it == instances_.end()) throw BadLine("field 'who': instance '" + name + "' has not started");
         return it->second;
     }
-    void reply(const std::string& name, Instance& instance, std::ostream& out) const {
+    void reply(const std::string& name, EndpointEntry& instance, std::ostream& out) const {
         if (instance.events.empty()) return;
         for (const auto& action : instance.router->step(now_, instance.events))
             out << format(name, action) << '\n';
         instance.events.clear();
     }
 
-    std::map<std::string, Instance> instances_;
+    std::map<std::string, EndpointEntry> instances_;
     Time now_{};
     bool open_ = false;
 };
--- a/bench/edge_bench.cpp
+++ b/bench/edge_bench.cpp
@@ -183,7 +183,7 @@
         net::HttpServer* server = nullptr;
         int left = 0;
     };
-    std::string read_answer, opening, token, usage;
+    std::string prefill_answer, opening, token, usage;
     int chunks = 20;     // of an answer
     bool paced = false;  // one chunk each tick; else all at once
     std::map<net::HttpServer*, std::map<net::HttpServer::Peer, Stream>> streams;
@@ -204,7 +204,7 @@
 
     // `tls`: what the engines show, at ports of their own; nullptr: in the clear only.
     Engines(uv_loop_t& loop, int count, const std::shared_ptr<net::tls::Context>& tls = nullptr) {
-        read_answer =
+        prefill_answer =
             R"({"id":"x","object":"chat.completion","choices":[],"usage":{"prompt_tokens":400,"completion_tokens":1},)"
             R"("kv_transfer_params":{"do_remote_prefill":true,"do_remote_decode":false,"remote_engine_id":"e","remote_block_ids":[1,2,3],"remote_host":"h","remote_port":1}})";
         opening = chat::format_event(
@@ -225,7 +225,8 @@
             addresses.push_back(servers.back()->listen({"127.0.0.1", 0}));
             if (tls == nullptr) continue;
             servers.back()->set_tls(tls);
-            tls_addresses.push_back(servers.back()->listen({"127.0.0.1", 0}, net::HttpServer::Speaks::tls));
+            tls_addresses.push_back(
+                servers.back()->listen({"127.0.0.1", 0}, net::HttpServer::ProtocolKind::tls));
         }
     }
     void on_request(net::HttpServer::Peer, http::Request) override {}
@@ -236,7 +237,7 @@
         if (request.target != engine::kChatPath) return server.reply(peer, 200, headers, "{}");
         if (request.body.find("\"do_remote_decode\":true") != std::string::npos) {
             headers.add("Content-Type", "application/json");
-            return server.reply(peer, 200, headers, read_answer);
+            return server.reply(peer, 200, headers, prefill_answer);
         }
         headers.add("Content-Type", "text/event-stream");
         server.begin_stream(peer, headers);
@@ -274,7 +275,7 @@
 struct Load : net::UpstreamPool::Handler {
     net::UpstreamPool pool;
     Address target;
-    std::string body, read_body;
+    std::string body, prefill_body;
     bool pairs = false;  // each request is two exchanges, as the edge's own are: a read, then the write
     std::set<net::UpstreamPool::Call> reading;
     std::map<net::UpstreamPool::Call, Time> asked;
@@ -303,13 +304,13 @@
                    .raw("stream_options", R"({"include_usage":true})")
                    .done();
         const auto parsed = chat::parse_request(body);
-        read_body = engine::read_body(body, *parsed);
+        prefill_body = engine::prefill_body(body, *parsed);
     }
     void ask() {
         const auto call = ++last;
         asked[call] = net::uv_now_time();
         if (pairs) reading.insert(call);
-        send(call, pairs ? read_body : body);
+        send(call, pairs ? prefill_body : body);
     }
     void send(net::UpstreamPool::Call call, const std::string& what) {
         http::Headers headers;
--- a/lab/model/exchange.cpp
+++ b/lab/model/exchange.cpp
@@ -98,7 +98,7 @@
     return job;
 }
 
-std::string read_answer(const Asked& asked, JobId job, double kept, const EngineAddress& engine) {
+std::string prefill_answer(const Asked& asked, JobId job, double kept, const EngineAddress& engine) {
     const std::string params = json::ObjectWriter()
                                    .flag("do_remote_prefill", true)
                                    .flag("do_remote_decode", false)
--- a/lab/model/exchange.hpp
+++ b/lab/model/exchange.hpp
@@ -38,8 +38,8 @@
     std::string host;
     int port = 0;
 };
-[[nodiscard]] std::string read_answer(const Asked& asked, JobId job, double kept,
-                                      const EngineAddress& engine);
+[[nodiscard]] std::string prefill_answer(const Asked& asked, JobId job, double kept,
+                                         const EngineAddress& engine);
 // Chunks of the stream, as JSON: the opening one, the i-th token, and the one with the usage.
 [[nodiscard]] std::string opening_chunk(const Asked& asked);
 [[nodiscard]] std::string token_chunk(const Asked& asked, std::size_t i);
--- a/lab/simulation/simulation.cpp
+++ b/lab/simulation/simulation.cpp
@@ -220,11 +220,11 @@
         ask->got.head(reply->status, std::atoll(advice.c_str()));
         ask->got.body(ask->what, reply->body);
         answered(reply->client.value, ask->got.end(ask->what));
-    } else if (const auto* follow = std::get_if<core::CacheFollow>(&output)) {
+    } else if (const auto* follow = std::get_if<core::SubscribeCacheEvents>(&output)) {
         g.hears[by_name_.at(follow->server)] = true;
-    } else if (const auto* leave = std::get_if<core::CacheLeave>(&output)) {
+    } else if (const auto* leave = std::get_if<core::UnsubscribeCacheEvents>(&output)) {
         g.hears[by_name_.at(leave->server)] = false;
-    } else if (const auto* wanted = std::get_if<core::CacheReplay>(&output)) {
+    } else if (const auto* wanted = std::get_if<core::ReplayCacheEvents>(&output)) {
         replay(g, *wanted);
     } else if (const auto* told = std::get_if<core::EmitRecord>(&output)) {
         if (std::holds_alternative<observe::GuardRecord>(told->record)) figures_.guards += 1;
@@ -349,7 +349,8 @@
                 figures_.read_tokens += e.asked.prompt_tokens;
                 figures_.kept_tokens += p.kept;
                 note(What::state, host, e.asked, "");
-                finish(e, 200, read_answer(e.asked, e.job, p.kept, {host.model.spec().name, "virtual", 1}));
+                finish(e, 200,
+                       prefill_answer(e.asked, e.job, p.kept, {host.model.spec().name, "virtual", 1}));
                 over = true;
                 break;
             }
@@ -412,7 +413,7 @@
             figures_.cache_lost += 1;
             continue;
         }
-        core::CacheMessage message{name, sequence, payload, false};
+        core::CacheEventMessage message{name, sequence, payload, false};
         if (scenario_.caches.instant) {
             give(g->number, std::move(message));
             continue;
@@ -422,7 +423,7 @@
     }
 }
 
-void Simulation::replay(Gateway& g, const core::CacheReplay& wanted) {
+void Simulation::replay(Gateway& g, const core::ReplayCacheEvents& wanted) {
     const auto number = by_name_.at(wanted.server);
     timeline_.after(network_->delay(g.number, number), [this, &g, number, wanted] {
         const Host& host = *hosts_[number];
@@ -432,7 +433,7 @@
                         [this, &g, name = wanted.server, from = wanted.from, past = host.past] {
                             for (const auto& [sequence, payload] : past)
                                 if (sequence >= from)
-                                    give(g.number, core::CacheMessage{name, sequence, payload, true});
+                                    give(g.number, core::CacheEventMessage{name, sequence, payload, true});
                             give(g.number, core::CacheReplayEnded{name});
                         });
     });
@@ -648,10 +649,10 @@
     for (const auto& g : gateways_) {
         const auto gauges = g->edge->gauges();
         figures_.open_at_end +=
-            gauges.open_requests + gauges.calls + gauges.states_held + gauges.tracked_by_module;
+            gauges.open_requests + gauges.calls + gauges.kv_states_held + gauges.tracked_by_router;
         const auto& p = gauges.prefixes;
         figures_.prefixes.servers += p.servers;
-        figures_.prefixes.told += p.told;
+        figures_.prefixes.trusted += p.trusted;
         figures_.prefixes.blocks += p.blocks;
         figures_.prefixes.gaps += p.gaps;
         figures_.prefixes.unfilled += p.unfilled;
--- a/lab/simulation/simulation.hpp
+++ b/lab/simulation/simulation.hpp
@@ -35,9 +35,9 @@
     double kept_tokens = 0;  // of these, found kept
     std::uint64_t cache_batches = 0;
     std::uint64_t cache_lost = 0;
-    std::uint64_t acts = 0;              // of the timeline
-    std::uint64_t steps = 0;             // of the edges' cores
-    prefix::Knowledge::Counts prefixes;  // over all edges, at the end
+    std::uint64_t acts = 0;                   // of the timeline
+    std::uint64_t steps = 0;                  // of the edges' cores
+    prefix::ReportedCaches::Counts prefixes;  // over all edges, at the end
     SimulatedConnections::Figures connections;
 };
 
@@ -83,7 +83,7 @@
     void finish(Exchange& exchange, int status, const std::string& body, const std::string& not_run = "");
     void move(Host& host);
     void publish(Host& host);
-    void replay(Gateway& gateway, const core::CacheReplay& wanted);
+    void replay(Gateway& gateway, const core::ReplayCacheEvents& wanted);
     void move_clients();
     void ask(ClientCall ask);
     void answered(std::uint64_t peer, const Transcript::End& end);
--- a/lab/sockets/engine_host.cpp
+++ b/lab/sockets/engine_host.cpp
@@ -38,7 +38,7 @@
     else if (caches_ != nullptr) caches_->start();
     if (fleet_.tls() == nullptr) return;
     server_->set_tls(fleet_.tls()->start(spec().name));
-    tls_address_ = server_->listen(tls_address_, net::HttpServer::Speaks::tls);
+    tls_address_ = server_->listen(tls_address_, net::HttpServer::ProtocolKind::tls);
 }
 
 void EngineHost::show(std::shared_ptr<net::tls::Context> context) {
@@ -220,7 +220,7 @@
     headers.add("Content-Type", "application/json");
     add_load(headers);
     server_->reply(e.peer, 200, std::move(headers),
-                   read_answer(e.asked, e.job, kept, {spec().name, address_.host, address_.port}));
+                   prefill_answer(e.asked, e.job, kept, {spec().name, address_.host, address_.port}));
 }
 
 void EngineHost::write_tokens(Exchange& e, std::size_t first, std::size_t count) {
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -164,7 +164,7 @@
         b.size("request-bytes", l.request_bytes);
         b.size("unfinished-bytes", l.unfinished_bytes);
         b.whole("server-connections", l.server_connections, 0, 1'000'000);
-        b.duration("server-rest", l.server_rest);
+        b.duration("server-rest", l.server_preferred_idle);
         b.duration("stall-timeout", l.stall_timeout);
         b.duration("stream-idle", l.stream_idle);
         b.duration("stream-longest", l.stream_longest);
@@ -174,13 +174,14 @@
         b.duration("cancel-wait", l.cancel_wait);
         b.whole("handshakes", l.handshakes, 1, 1'000'000);
         b.whole("handshakes-per-server", l.handshakes_per_server, 1, 100'000);
-        b.duration("unverified-pause", l.unverified_pause);
-        b.duration("unverified-longest", l.unverified_longest);
-        b.duration("tls-look", l.tls_look);
+        b.duration("unverified-pause", l.unverified_backoff);
+        b.duration("unverified-longest", l.unverified_backoff_max);
+        b.duration("tls-look", l.tls_poll_interval);
         b.whole("admin-connections", l.admin_connections, 1, 100'000);
-        if (l.unverified_pause <= Duration::zero() || l.unverified_longest < l.unverified_pause)
+        if (l.unverified_backoff <= Duration::zero() || l.unverified_backoff_max < l.unverified_backoff)
             problems_.add({}, "'unverified-pause' must be above 0, and 'unverified-longest' no shorter");
-        if (l.tls_look < std::chrono::milliseconds(10)) problems_.add({}, "'tls-look' must be 10ms or more");
+        if (l.tls_poll_interval < std::chrono::milliseconds(10))
+            problems_.add({}, "'tls-look' must be 10ms or more");
     }
 
     void request_class(const kdl::Node& n) {
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -81,7 +81,7 @@
     std::size_t snapshots_bytes = std::size_t{1024} * 1024 * 1024;  // of the folder, at most
 };
 // The convention spoken with clients and servers.
-enum class Speaks {
+enum class ProtocolKind {
     vllm,      // OpenAI-style clients, vLLM's disaggregated prefill
     platform,  // the users' platform
 };
@@ -131,26 +131,27 @@
     Duration stream_idle = std::chrono::seconds(30);    // a started stream without a byte from its engine
     Duration stream_longest = std::chrono::minutes(30);
     Duration server_idle = std::chrono::seconds(30);  // an unused connection to a server
-    Duration server_rest{};  // one that has rested so long is taken before one that has just answered
+    Duration
+        server_preferred_idle{};  // one that has rested so long is taken before one that has just answered
     Duration drain = std::chrono::seconds(30);           // from SIGTERM to the exit; or kNoLimit
     Duration drain_grace{};                              // of it, new requests are still taken ...
     Duration drain_answers{};                            // ... and answered within this, from SIGTERM
     Duration release_timeout = std::chrono::seconds(2);  // for a let-go call, and for a probe
-    std::int64_t release_tries = 1;                      // of a let-go call that any server takes
+    std::int64_t release_attempts = 1;                   // of a let-go call that any server takes
     Duration release_retry{};             // until another server is asked for such a call; 0: release_timeout
     std::int64_t server_connections = 0;  // to all servers together; 0: no limit of its own
     Duration first_timeout{};             // a client's connection with nothing ever asked; 0: as idle
     std::int64_t handshakes = 64;         // TLS to servers, under way at once, in all
     std::int64_t handshakes_per_server = 8;
-    Duration unverified_pause = std::chrono::seconds(1);  // until a server is asked again to prove its name
-    Duration unverified_longest = std::chrono::minutes(5);
-    Duration tls_look = std::chrono::seconds(5);  // between looks at TLS files
+    Duration unverified_backoff = std::chrono::seconds(1);  // until a server is asked again to prove its name
+    Duration unverified_backoff_max = std::chrono::minutes(5);
+    Duration tls_poll_interval = std::chrono::seconds(5);  // between looks at TLS files
     std::int64_t admin_connections = 64;
 };
 
 struct EdgeSettings {
     Settings module;  // what the decision module is given
-    Speaks speaks = Speaks::vllm;
+    ProtocolKind protocol = ProtocolKind::vllm;
     std::string name = "edge-0";
     std::uint64_t seed = 0;  // 0: drawn at the start
     Address listen{"127.0.0.1", 0};
--- a/src/core/edge.cpp
+++ b/src/core/edge.cpp
@@ -51,12 +51,12 @@
            std::shared_ptr<const engine::Vocabulary> vocabulary)
     : settings_(settings),
       routing_policy_(std::move(routing_policy)),
-      protocol_(make_convention(settings)),
-      verification_({settings.limits.unverified_pause, settings.limits.unverified_longest}) {
+      protocol_(make_protocol(settings)),
+      verification_({settings.limits.unverified_backoff, settings.limits.unverified_backoff_max}) {
     const bool any = std::any_of(settings_.kinds.begin(), settings_.kinds.end(),
                                  [](const auto& k) { return k.cache_events; });
     if (!any) return;
-    prefix::Knowledge::Limits limits;
+    prefix::ReportedCaches::Limits limits;
     limits.index.blocks_each = static_cast<std::size_t>(settings_.cache_events.blocks_per_server);
     limits.decode.bytes = settings_.cache_events.message_bytes;
     limits.held_batches = static_cast<std::size_t>(settings_.cache_events.held_batches);
@@ -67,7 +67,7 @@
             return vocabulary->text(token, out);
         };
     }
-    prefixes_ = std::make_unique<prefix::Knowledge>(std::move(text), limits);
+    prefixes_ = std::make_unique<prefix::ReportedCaches>(std::move(text), limits);
 }
 Edge::~Edge() = default;
 
@@ -110,10 +110,10 @@
             held_,
             routing_policy_->tracked_requests(),
             verification_.count(),
-            prefixes_ == nullptr ? prefix::Knowledge::Counts{} : prefixes_->counts()};
+            prefixes_ == nullptr ? prefix::ReportedCaches::Counts{} : prefixes_->counts()};
 }
 
-std::vector<membership::EndpointConfig> Edge::listed() const {
+std::vector<membership::EndpointConfig> Edge::endpoints() const {
     std::vector<membership::EndpointConfig> out;
     for (const auto& [id, s] : servers_) out.push_back(s);
     return out;
@@ -165,7 +165,7 @@
         return reject(protocol_->reject(request, number, RejectionReason::limit), Termination::refused,
                       "limit");
     const std::size_t bytes = request.body.size();
-    auto in = protocol_->take_in(request, number);
+    auto in = protocol_->parse(request, number);
     if (!in) return reject(std::move(in.error()), Termination::rejected, "invalid");
     auto open = std::make_unique<ActiveRequest>();
     ActiveRequest& r = *open;
@@ -196,7 +196,7 @@
     if (prefixes_ != nullptr) {
         r.claims = claims(r);
         for (const auto& c : r.claims)
-            if (prefixes_->told(c.server.value)) arrived.cached_prefixes.push_back(c);
+            if (prefixes_->trusted(c.server.value)) arrived.cached_prefixes.push_back(c);
     }
     events_.emplace_back(std::move(arrived));
 
@@ -232,7 +232,7 @@
 }
 
 // Guards against connections that are ended without a word: whoever waits is told that it is over.
-void Edge::on(const DrainEnds&) {
+void Edge::on(const DrainExpired&) {
     std::vector<RequestId> all;
     for (const auto& [client, id] : by_client_) all.push_back(id);
     std::sort(all.begin(), all.end());
@@ -282,7 +282,7 @@
     call.status = in.status;
     call.head = protocol_->read_head(in.status, in.headers);
     if (call.kind == CallKind::attempt && !call.read && in.status == 200)
-        call.answer = find(call.request)->in.exchange->writer_answer();
+        call.answer = find(call.request)->in.protocol_session->decode_parser();
 }
 
 void Edge::on(CallBody& in) {
@@ -339,12 +339,12 @@
         held_ -= 1;
     }
     r.pending_release.reset();
-    const bool streams = r.in.exchange->streams();
+    const bool streams = r.in.protocol_session->streams();
     Time look = now_ + settings_.limits.stream_idle;
     if (r.moves_at != Time{}) look = std::min(look, r.moves_at);
     arm(r, streams ? look : std::min(look, r.deadline));
     drop_body(r);
-    if (streams) emit(StreamBegin{r.client, r.in.exchange->stream_head()});
+    if (streams) emit(StreamBegin{r.client, r.in.protocol_session->stream_head()});
 }
 
 void Edge::on(const CallDone& in) {
@@ -389,13 +389,14 @@
                        0,
                        call.head.report};
     // The break of a stream that had started ends the request, as its good end does; so does a verdict on it.
-    ended.request_finished = r.answered || r.started || end.judged.clients_fault;
-    if (end.read_answer) {
-        ended.cached_prompt_tokens = end.read_answer->cached_tokens.value_or(0);
-        take_read_answer(r, call, *end.read_answer);
-    } else if (!call.read && end.judged.outcome == AttemptOutcome::ok && !end.judged.clients_fault) {
-        ended.cached_prompt_tokens = r.in.exchange->cached_tokens();
-        if (const double told = r.told_prompt_tokens(); told > 0) r.in.exchange->prompt_counted(told);
+    ended.request_finished = r.answered || r.started || end.judged.client_error;
+    if (end.prefill_answer) {
+        ended.cached_prompt_tokens = end.prefill_answer->cached_tokens.value_or(0);
+        take_read_answer(r, call, *end.prefill_answer);
+    } else if (!call.read && end.judged.outcome == AttemptOutcome::ok && !end.judged.client_error) {
+        ended.cached_prompt_tokens = r.in.protocol_session->cached_tokens();
+        if (const double told = r.reported_prompt_tokens(); told > 0)
+            r.in.protocol_session->set_prompt_tokens(told);
     }
     settle_held(r, call, end);
     note_attempt(r, call, end, detail);
@@ -409,15 +410,15 @@
     AttemptResult out;
     out.ending = ending;
     if (call.read && ending == Ending::answered)
-        out.read_answer = protocol_->read_result(call.status, call.body);
+        out.prefill_answer = protocol_->parse_prefill(call.status, call.body);
     engine::Facts facts;
     facts.ending = ending;
     facts.sent = call.sent;
     facts.written = call.written;
-    facts.read = call.read;
+    facts.prefill = call.read;
     facts.started = r.started;
     const bool whole_stream = r.started && call.answer != nullptr && call.answer->whole();
-    facts.whole = call.read ? out.read_answer.has_value() : whole_stream;
+    facts.complete = call.read ? out.prefill_answer.has_value() : whole_stream;
     facts.status = call.status;
     facts.not_run = call.head.not_run;
     out.judged = protocol_->judge(facts, call.server_kind);
@@ -431,7 +432,7 @@
     if (const auto s = servers_.find({call.server}); s != servers_.end()) r.first_run_at = s->second.endpoint;
 }
 
-void Edge::take_read_answer(ActiveRequest& r, const UpstreamCall& call, const ReadResult& answer) {
+void Edge::take_read_answer(ActiveRequest& r, const UpstreamCall& call, const PrefillResult& answer) {
     if (prefixes_ != nullptr) {
         const auto claim = std::find_if(r.claims.begin(), r.claims.end(),
                                         [&](const auto& c) { return c.server.value == call.server; });
@@ -442,7 +443,7 @@
     }
     if (answer.prompt_tokens > 0) {
         r.counted_prompt_tokens = answer.prompt_tokens;
-        r.in.exchange->prompt_counted(answer.prompt_tokens);
+        r.in.protocol_session->set_prompt_tokens(answer.prompt_tokens);
     }
     const auto at = servers_.find({call.server});
     r.held = ActiveRequest::Held{at == servers_.end() ? membership::EndpointConfig{} : at->second,
@@ -466,16 +467,16 @@
 // The final answer, where this attempt's end calls for one by itself; else the module decides what follows.
 void Edge::answer_behind(ActiveRequest& r, const UpstreamCall& call, const AttemptResult& end,
                          const std::string& detail) {
-    if (end.judged.clients_fault) {
-        reply(r.client, r.in.exchange->verdict(call.status, call.head, call.body));
+    if (end.judged.client_error) {
+        reply(r.client, r.in.protocol_session->verdict(call.status, call.head, call.body));
         finish(r, Termination::rejected, call.status, "engine");
     } else if (end.judged.outcome == AttemptOutcome::ok) {
-        if (r.in.exchange->streams()) {
-            if (auto tail = r.in.exchange->stream_tail(); !tail.empty())
+        if (r.in.protocol_session->streams()) {
+            if (auto tail = r.in.protocol_session->stream_tail(); !tail.empty())
                 emit(StreamBytes{r.client, std::move(tail)});
             emit(StreamEnd{r.client});
         } else {
-            reply(r.client, r.in.exchange->collected());
+            reply(r.client, r.in.protocol_session->collected());
         }
         finish(r, Termination::served, 200, "served");
     } else if (r.started) {
@@ -495,7 +496,7 @@
         case CallKind::verify:
             std::erase_if(call_due_, [&](const auto& d) { return d.second == call.id; });
             if (ending == Ending::answered) verified(call.server);
-            else if (ending != Ending::unverified) verification_.untold(call.server, now_);
+            else if (ending != Ending::unverified) verification_.inconclusive(call.server, now_);
             return;
     }
 }
@@ -519,7 +520,7 @@
     if (now_ >= r.deadline) return "send after the deadline";
     const auto s = servers_.find(action.server);
     if (s == servers_.end()) return "unknown server";
-    if (s->second.endpoint.state != EndpointState::up || verification_.out(action.server.value))
+    if (s->second.endpoint.state != EndpointState::up || verification_.unverified(action.server.value))
         return "server not in service";
     if (!repeat_allowed(r, action.server.value, now_)) return "an earlier attempt may have run";
     return {};
@@ -548,7 +549,7 @@
     const Duration left = r.deadline - now;
     const bool in_time = !r.answered && left > Duration::zero();
     if (!in_time || !repeat_allowed(r, call->second.server, now)) return false;
-    r.in.exchange->update_time_left(headers, left);
+    r.in.protocol_session->update_time_left(headers, left);
     return true;
 }
 
@@ -578,10 +579,10 @@
     call.server = action.server.value;
     call.server_kind = s.endpoint.kind;
     call.address = s.address;
-    call.worth = settings_.module.classes[r->in.cls].priority_weight;
+    call.priority = settings_.module.classes[r->in.cls].priority_weight;
     const Duration left = r->deadline - now_;
-    put(call, read ? r->in.exchange->read(attempt, left)
-                   : r->in.exchange->write(attempt, r->held ? r->held->state : std::string(), left));
+    put(call, read ? r->in.protocol_session->read(attempt, left)
+                   : r->in.protocol_session->write(attempt, r->held ? r->held->state : std::string(), left));
 
     UpstreamCall out;
     out.id = call.call;
@@ -608,7 +609,7 @@
         fail(*r, 502, "attempts", "the request failed");
         return drop_if_over(action.id);
     }
-    auto answer = r->in.exchange->refusal(action.retry_after);
+    auto answer = r->in.protocol_session->refusal(action.retry_after);
     const int status = answer.status;
     reply(r->client, std::move(answer));
     const std::string reason = r->attempts == 0 ? "held" : "attempts";
@@ -730,7 +731,7 @@
             // A client that wants one object has nothing in hand until the end: its deadline goes on.
             // One taken as this gateway was about to end is moved before the end cuts it anyway.
             const Time own = r.moves_at == Time{} ? longest : std::min(longest, r.moves_at);
-            const Time last = r.in.exchange->streams() ? own : std::min(own, r.deadline);
+            const Time last = r.in.protocol_session->streams() ? own : std::min(own, r.deadline);
             if (now_ < last && now_ < idle) {
                 arm(r, std::min(last, idle));
                 continue;
@@ -771,8 +772,8 @@
 // ================= ends =================
 
 void Edge::fail(ActiveRequest& r, int status, std::string reason, std::string message) {
-    if (r.started && r.in.exchange->streams()) {
-        auto last = r.in.exchange->stream_error(status, message);
+    if (r.started && r.in.protocol_session->streams()) {
+        auto last = r.in.protocol_session->stream_error(status, message);
         if (last) {
             emit(StreamBytes{r.client, std::move(*last)});
             emit(StreamEnd{r.client});
@@ -781,13 +782,13 @@
         }
     } else {
         const bool repeatable = settings_.module.classes[r.in.cls].idempotency == Idempotency::idempotent;
-        reply(r.client, r.in.exchange->failure(status, message, repeatable || !r.may_have_run));
+        reply(r.client, r.in.protocol_session->failure(status, message, repeatable || !r.may_have_run));
     }
     finish(r, Termination::failed, status, std::move(reason));
 }
 
 void Edge::drop_body(ActiveRequest& r) {
-    r.in.exchange->drop_request();
+    r.in.protocol_session->drop_request();
     request_bytes_ -= std::exchange(r.body_bytes, 0);
 }
 
@@ -808,10 +809,10 @@
     record.total = now_ - r.arrived;
     if (r.started) record.first_token = r.first_chunk - r.arrived;
     record.prompt_tokens = r.in.prompt_tokens;
-    record.prompt_tokens_told = r.told_prompt_tokens();
-    record.completion_tokens = r.in.exchange->completion_tokens();
+    record.reported_prompt_tokens = r.reported_prompt_tokens();
+    record.completion_tokens = r.in.protocol_session->completion_tokens();
     record.chunks = r.chunks;
-    record.streamed = r.in.exchange->streams();
+    record.streamed = r.in.protocol_session->streams();
     record.attempt_history = r.attempt_history;
     emit(EmitRecord{std::move(record)});
     drop_body(r);
@@ -835,7 +836,7 @@
     call.server = to.endpoint.id.value;
     call.server_kind = to.endpoint.kind;
     call.address = to.address;
-    call.worth = worth;
+    call.priority = worth;
     put(call, std::move(request));
     UpstreamCall out;
     out.id = call.call;
--- a/src/core/edge.hpp
+++ b/src/core/edge.hpp
@@ -37,7 +37,7 @@
 #include "membership/endpoint_list.hpp"
 #include "membership/verification.hpp"
 #include "observe/record.hpp"
-#include "prefix/knowledge.hpp"
+#include "prefix/reported_caches.hpp"
 
 namespace chalksail::core {
 
@@ -81,7 +81,7 @@
     engine::Ending ending = engine::Ending::closed;
     std::string detail;
 };
-struct CacheMessage {  // of a server's cache events, or of a replay of past ones
+struct CacheEventMessage {  // of a server's cache events, or of a replay of past ones
     std::string server;
     std::uint64_t sequence = 0;
     std::string payload;
@@ -90,20 +90,20 @@
 struct CacheReplayEnded {  // all past ones that it has are in, or it can't be had
     std::string server;
 };
-struct CacheSnapshots {  // by server: what CacheKeep gave before this edge started
-    std::map<std::string, std::string> kept;
+struct CacheSnapshots {  // by server: what StoreCacheSnapshot gave before this edge started
+    std::map<std::string, std::string> by_server;
 };
 struct TrustStoreChanged {};  // what servers are verified against is not what it was
 // This gateway ends soon: requests taken from now on are answered by then.
 struct ShutdownAnnounced {
-    Time answered_by;
+    Time answer_deadline;
 };
-struct DrainBegins {};  // no new request is taken from now on
-struct DrainEnds {};    // every request gets its final answer now
+struct DrainStarted {};  // no new request is taken from now on
+struct DrainExpired {};  // every request gets its final answer now
 using Input =
     std::variant<ClientRequest, ClientClosed, ClientBacklog, CallSent, CallWritten, CallHead, CallBody,
-                 CallDone, CallFailed, membership::EndpointList, CacheMessage, CacheReplayEnded,
-                 CacheSnapshots, TrustStoreChanged, ShutdownAnnounced, DrainBegins, DrainEnds>;
+                 CallDone, CallFailed, membership::EndpointList, CacheEventMessage, CacheReplayEnded,
+                 CacheSnapshots, TrustStoreChanged, ShutdownAnnounced, DrainStarted, DrainExpired>;
 
 // ---- effects: what the shell is to do ----
 
@@ -139,7 +139,7 @@
     std::string target;
     http::Headers headers;
     std::string body;
-    double worth = 0;  // of what waits for a handshake, the highest goes first
+    double priority = 0;  // of what waits for a handshake, the highest goes first
 };
 struct CallAbort {  // its connection is closed, or it leaves the queue; nothing more is heard of it
     CallId call;
@@ -155,43 +155,45 @@
     CallId call;
     bool paused = false;
 };
-struct CacheFollow {  // hear this server's cache events from now on; at other addresses than before, perhaps
+struct SubscribeCacheEvents {  // hear this server's cache events from now on; at other addresses than before,
+                               // perhaps
     std::string server;
     Address events;
     std::optional<Address> replay;
 };
-struct CacheLeave {
+struct UnsubscribeCacheEvents {
     std::string server;
 };
-struct CacheReplay {  // past ones, from this sequence on
+struct ReplayCacheEvents {  // past ones, from this sequence on
     std::string server;
     std::uint64_t from = 0;
 };
-struct CacheKeep {  // to be stored in place of the server's former one
+struct StoreCacheSnapshot {  // to be stored in place of the server's former one
     std::string server;
     std::string snapshot;
 };
-struct CacheDrop {  // it is of no use any more
+struct DropCacheSnapshot {  // it is of no use any more
     std::string server;
 };
-struct ServerForgotten {  // off the list, and nothing of it is left here
+struct EndpointForgotten {  // off the list, and nothing of it is left here
     std::string server;
 };
 struct EmitRecord {
     observe::Record record;
 };
-using Output = std::variant<SendResponse, StreamBegin, StreamBytes, StreamEnd, AbortStream, Call, CallAbort,
-                            HalfCloseCall, CompleteCall, SetCallPaused, CacheFollow, CacheLeave, CacheReplay,
-                            CacheKeep, CacheDrop, ServerForgotten, EmitRecord>;
+using Output =
+    std::variant<SendResponse, StreamBegin, StreamBytes, StreamEnd, AbortStream, Call, CallAbort,
+                 HalfCloseCall, CompleteCall, SetCallPaused, SubscribeCacheEvents, UnsubscribeCacheEvents,
+                 ReplayCacheEvents, StoreCacheSnapshot, DropCacheSnapshot, EndpointForgotten, EmitRecord>;
 
 struct Gauges {
     std::size_t open_requests = 0;  // without a final answer
     std::size_t started_streams = 0;
     std::size_t calls = 0;
-    std::size_t states_held = 0;
-    std::size_t tracked_by_module = 0;
+    std::size_t kv_states_held = 0;
+    std::size_t tracked_by_router = 0;
     std::size_t unverified_servers = 0;
-    prefix::Knowledge::Counts prefixes;
+    prefix::ReportedCaches::Counts prefixes;
 };
 
 class Edge {
@@ -215,8 +217,8 @@
     [[nodiscard]] bool may_begin(Time now, CallId call, http::Headers& headers) const;
     [[nodiscard]] Gauges gauges() const;
     // Names and states of the servers listed, for operators.
-    [[nodiscard]] std::vector<membership::EndpointConfig> listed() const;
-    [[nodiscard]] std::size_t server_count() const { return servers_.size(); }
+    [[nodiscard]] std::vector<membership::EndpointConfig> endpoints() const;
+    [[nodiscard]] std::size_t endpoint_count() const { return servers_.size(); }
 
 private:
     struct ActiveRequest;
@@ -242,7 +244,7 @@
     [[nodiscard]] AttemptResult judge_attempt(const ActiveRequest& open, const UpstreamCall& call,
                                               engine::Ending ending) const;
     void note_may_have_run(ActiveRequest& open, const UpstreamCall& call, const AttemptResult& end);
-    void take_read_answer(ActiveRequest& open, const UpstreamCall& call, const ReadResult& answer);
+    void take_read_answer(ActiveRequest& open, const UpstreamCall& call, const PrefillResult& answer);
     void settle_held(ActiveRequest& open, const UpstreamCall& call, const AttemptResult& end);
     [[nodiscard]] static bool may_have_left_a_state(const UpstreamCall& call, const AttemptResult& end);
     void note_attempt(ActiveRequest& open, const UpstreamCall& call, const AttemptResult& end,
@@ -256,12 +258,12 @@
     void end_lease(const UpstreamCall& call, engine::Ending ending);
     // list
     void on(const membership::EndpointList& in);
-    void on(const ShutdownAnnounced& in) { answered_by_ = in.answered_by; }
-    void on(const DrainBegins&) { draining_ = true; }
-    void on(const DrainEnds&);
-    void on(const TrustStoreChanged&) { verification_.all_changed(now_); }
+    void on(const ShutdownAnnounced& in) { answered_by_ = in.answer_deadline; }
+    void on(const DrainStarted&) { draining_ = true; }
+    void on(const DrainExpired&);
+    void on(const TrustStoreChanged&) { verification_.trust_changed(now_); }
     // What servers keep, by their cache events.
-    void on(const CacheMessage& in);
+    void on(const CacheEventMessage& in);
     void on(const CacheReplayEnded& in);
     void on(CacheSnapshots& in);
     void keep_snapshot();
@@ -365,7 +367,7 @@
     std::map<CallId, UpstreamCall> calls_;
     std::map<ServerId, membership::EndpointConfig> servers_;
     membership::Verification verification_;
-    std::unique_ptr<prefix::Knowledge> prefixes_;  // nullptr: no kind publishes cache events
+    std::unique_ptr<prefix::ReportedCaches> prefixes_;  // nullptr: no kind publishes cache events
     std::map<std::string, std::pair<Address, std::optional<Address>>> followed_;
     std::map<std::string, std::string> snapshots_;  // of servers that are not listed yet
     std::string last_kept_;                         // whose turn it was
--- a/src/core/edge_releases.cpp
+++ b/src/core/edge_releases.cpp
@@ -93,7 +93,7 @@
 // asks twice as many as the one before, up to kWideningRounds.
 void Edge::ask_more_servers(ReleaseAttempt release, RequestId request, const std::string& failed_at) {
     ReleaseProgress& progress = *release.progress;
-    if (progress.rounds >= settings_.limits.release_tries) return resume_deferred(request);
+    if (progress.rounds >= settings_.limits.release_attempts) return resume_deferred(request);
     progress.rounds += 1;
     const int wanted = progress.rounds <= kWideningRounds ? 1 << progress.rounds : 1;
     CallId leading{};
--- a/src/core/edge_servers.cpp
+++ b/src/core/edge_servers.cpp
@@ -36,7 +36,7 @@
         if (moved) verification_.changed(s.endpoint.id.value, now_);
         servers_[s.endpoint.id] = s;
         event.endpoints.push_back(s.endpoint);
-        if (verification_.out(s.endpoint.id.value) && s.endpoint.state == EndpointState::up)
+        if (verification_.unverified(s.endpoint.id.value) && s.endpoint.state == EndpointState::up)
             event.endpoints.back().state = EndpointState::draining;
     }
     events_.emplace_back(std::move(event));
@@ -55,7 +55,7 @@
         verification_.forget(p.first.value);
         no_release_.erase(p.first.value);
         heard_.forget(p.first.value);
-        emit(ServerForgotten{p.first.value});
+        emit(EndpointForgotten{p.first.value});
         return true;
     });
 }
@@ -70,12 +70,12 @@
     }
 }
 
-void Edge::on(const CacheMessage& in) {
+void Edge::on(const CacheEventMessage& in) {
     if (prefixes_ == nullptr) return;
-    const auto from = prefixes_->message(in.server, in.sequence, in.payload, in.replayed);
+    const auto from = prefixes_->on_message(in.server, in.sequence, in.payload, in.replayed);
     if (from) {
         replays_[in.server] = now_ + settings_.cache_events.replay_timeout;
-        emit(CacheReplay{in.server, *from});
+        emit(ReplayCacheEvents{in.server, *from});
     }
     tell_prefixes();
 }
@@ -88,7 +88,7 @@
 
 void Edge::on(CacheSnapshots& in) {
     if (prefixes_ == nullptr) return;
-    snapshots_ = std::move(in.kept);
+    snapshots_ = std::move(in.by_server);
     next_keep_ = now_ + settings_.cache_events.snapshot_every;
 }
 
@@ -101,7 +101,7 @@
     last_kept_ = it->first;
     next_keep_ = now_ + std::max(settings_.module.tick, settings_.cache_events.snapshot_every /
                                                             static_cast<std::int64_t>(followed_.size()));
-    if (auto bytes = prefixes_->snapshot(last_kept_)) emit(CacheKeep{last_kept_, std::move(*bytes)});
+    if (auto bytes = prefixes_->snapshot(last_kept_)) emit(StoreCacheSnapshot{last_kept_, std::move(*bytes)});
 }
 
 // Follows the list: who is in service and publishes is heard.
@@ -111,19 +111,20 @@
         const auto* kind = settings_.kind(s.endpoint.kind);
         if (kind == nullptr || !kind->cache_events || !s.events || s.endpoint.state == EndpointState::removed)
             continue;
-        prefixes_->listed(id.value, s.endpoint.kind, s.endpoint.started_at);
+        prefixes_->add(id.value, s.endpoint.kind, s.endpoint.started_at);
         wanted[id.value] = {*s.events, s.replay};
     }
     for (const auto& [server, at] : followed_) {
         if (wanted.contains(server)) continue;
-        prefixes_->gone(server);
+        prefixes_->remove(server);
         replays_.erase(server);
-        emit(CacheLeave{server});
-        if (next_keep_ != Time::max()) emit(CacheDrop{server});
+        emit(UnsubscribeCacheEvents{server});
+        if (next_keep_ != Time::max()) emit(DropCacheSnapshot{server});
     }
     for (const auto& [server, at] : wanted) {
         const auto before = followed_.find(server);
-        if (before == followed_.end() || before->second != at) emit(CacheFollow{server, at.first, at.second});
+        if (before == followed_.end() || before->second != at)
+            emit(SubscribeCacheEvents{server, at.first, at.second});
         // Kept from before this edge started: of use once the engine proves to be the same process.
         const auto kept = snapshots_.find(server);
         if (kept == snapshots_.end()) continue;
@@ -131,11 +132,11 @@
         snapshots_.erase(kept);
         if (!from) {
             emit(EmitRecord{observe::ServerRecord{server, "cache_snapshot", from.error()}});
-            emit(CacheDrop{server});
+            emit(DropCacheSnapshot{server});
             continue;
         }
         replays_[server] = now_ + settings_.cache_events.replay_timeout;
-        emit(CacheReplay{server, *from});
+        emit(ReplayCacheEvents{server, *from});
     }
     followed_ = std::move(wanted);
     tell_prefixes();
@@ -150,12 +151,12 @@
 }
 
 std::vector<CachedPrefix> Edge::claims(const ActiveRequest& r) const {
-    const auto text = r.in.exchange->prompt_text();
+    const auto text = r.in.protocol_session->prompt_text();
     if (text.empty()) return {};
     std::vector<CachedPrefix> out;
     for (const auto& k : settings_.kinds)
         if (k.cache_events)
-            for (auto& claim : prefixes_->claims(k.name, text)) out.push_back(std::move(claim));
+            for (auto& claim : prefixes_->cached_prefixes(k.name, text)) out.push_back(std::move(claim));
     return out;
 }
 
@@ -174,7 +175,7 @@
 }
 
 void Edge::verified(const std::string& server) {
-    if (!verification_.proved(server)) return;
+    if (!verification_.verified(server)) return;
     emit(EmitRecord{observe::ServerRecord{server, "verified", ""}});
     const auto s = servers_.find({server});
     if (s == servers_.end()) return;
@@ -197,7 +198,7 @@
     engine::Facts facts;
     facts.ending = ending;
     facts.sent = call.sent;
-    facts.whole = true;
+    facts.complete = true;
     facts.status = call.status;
     auto outcome = engine::judge(facts).outcome;
     if (outcome == AttemptOutcome::ok && call.status != 200)
@@ -210,7 +211,7 @@
 
 void Edge::apply(const HealthCheck& action) {
     const auto s = servers_.find(action.server);
-    if (s == servers_.end() || verification_.out(action.server.value)) {
+    if (s == servers_.end() || verification_.unverified(action.server.value)) {
         events_.emplace_back(HealthCheckEnded{action.server, AttemptOutcome::not_sent, {}, {}});
         return;
     }
--- a/src/core/edge_state.hpp
+++ b/src/core/edge_state.hpp
@@ -54,8 +54,8 @@
     std::string last_outcome;
     std::string attempt_history;
 
-    [[nodiscard]] double told_prompt_tokens() const {
-        const double told = in.exchange->told_prompt_tokens();
+    [[nodiscard]] double reported_prompt_tokens() const {
+        const double told = in.protocol_session->reported_prompt_tokens();
         return told > 0 ? told : counted_prompt_tokens;
     }
 };
@@ -86,7 +86,7 @@
 struct Edge::AttemptResult {
     engine::Ending ending = engine::Ending::answered;
     engine::Judgement judged;
-    std::optional<ReadResult> read_answer;  // of a read that ended well
+    std::optional<PrefillResult> prefill_answer;  // of a read that ended well
 };
 
 }  // namespace chalksail::core
--- a/src/core/platform_protocol.cpp
+++ b/src/core/platform_protocol.cpp
@@ -61,7 +61,7 @@
     [[nodiscard]] ServerRequest write(std::int64_t, const std::string&, Duration left) const override {
         return passed_on(left);
     }
-    [[nodiscard]] std::unique_ptr<DecodeResponseParser> writer_answer() override {
+    [[nodiscard]] std::unique_ptr<DecodeResponseParser> decode_parser() override {
         auto reader = std::make_shared<platform::EventReader>(owner_.settings_.limits.event_bytes);
         reader_ = reader;
         return std::make_unique<PlatformEvents>(std::move(reader));
@@ -71,7 +71,7 @@
     }
     void drop_request() override { std::string().swap(body_); }
 
-    [[nodiscard]] double told_prompt_tokens() const override {
+    [[nodiscard]] double reported_prompt_tokens() const override {
         return reader_ ? reader_->prompt_tokens() : 0;
     }
     [[nodiscard]] double completion_tokens() const override {
@@ -144,7 +144,7 @@
     return out;
 }
 
-tl::expected<ParsedRequest, Rejection> PlatformProtocol::take_in(http::Request& request, std::uint64_t) {
+tl::expected<ParsedRequest, Rejection> PlatformProtocol::parse(http::Request& request, std::uint64_t) {
     const auto reject = [&](int status, std::string_view message) {
         return tl::unexpected(Rejection{error_answer(status, message), {}, {}});
     };
@@ -168,8 +168,8 @@
     out.max_output = told->max_output;
     out.retry = told->retry;
     out.again = told->again;
-    out.exchange = std::make_unique<Request>(*this, std::move(told->id), std::move(told->idempotency_key),
-                                             std::move(request));
+    out.protocol_session = std::make_unique<Request>(*this, std::move(told->id),
+                                                     std::move(told->idempotency_key), std::move(request));
     return out;
 }
 
@@ -182,9 +182,9 @@
     return out;
 }
 
-std::optional<ReadResult> PlatformProtocol::read_result(int status, std::string_view body) const {
+std::optional<PrefillResult> PlatformProtocol::parse_prefill(int status, std::string_view body) const {
     if (status != 202) return std::nullopt;
-    return ReadResult{{}, 0, platform::read_cached_tokens(body)};
+    return PrefillResult{{}, 0, platform::parse_cached_tokens(body)};
 }
 
 engine::Judgement PlatformProtocol::judge(const engine::Facts& f, const std::string&) const {
@@ -201,16 +201,16 @@
         case engine::Ending::unverified:
         case engine::Ending::withdrawn: facts.ended = platform::Ended::no_connection; break;
         case engine::Ending::closed: facts.ended = platform::Ended::broke; break;
-        case engine::Ending::bad_answer: facts.ended = platform::Ended::spoilt; break;
+        case engine::Ending::bad_answer: facts.ended = platform::Ended::malformed; break;
         case engine::Ending::timed_out: facts.ended = platform::Ended::timed_out; break;
-        case engine::Ending::cancelled: facts.ended = platform::Ended::called_off; break;
+        case engine::Ending::cancelled: facts.ended = platform::Ended::cancelled; break;
     }
     facts.written = f.written;
-    facts.read = f.read;
+    facts.prefill = f.prefill;
     facts.started = f.started;
-    facts.whole = f.whole;
+    facts.complete = f.complete;
     facts.status = f.status;
-    facts.not_run = f.not_run != engine::NotRun::not_said;
+    facts.not_run = f.not_run != engine::NotRun::unknown;
     const auto verdict = platform::judge(facts);
     return {verdict.outcome, verdict.kv_state_missing, false};
 }
--- a/src/core/platform_protocol.hpp
+++ b/src/core/platform_protocol.hpp
@@ -14,10 +14,11 @@
     [[nodiscard]] std::optional<Answer> answer(const http::Request& request, bool draining) const override;
     [[nodiscard]] Rejection reject(const http::Request& request, std::uint64_t number,
                                    RejectionReason why) const override;
-    [[nodiscard]] tl::expected<ParsedRequest, Rejection> take_in(http::Request& request,
-                                                                 std::uint64_t number) override;
+    [[nodiscard]] tl::expected<ParsedRequest, Rejection> parse(http::Request& request,
+                                                               std::uint64_t number) override;
     [[nodiscard]] ResponseHead read_head(int status, const http::Headers& headers) const override;
-    [[nodiscard]] std::optional<ReadResult> read_result(int status, std::string_view body) const override;
+    [[nodiscard]] std::optional<PrefillResult> parse_prefill(int status,
+                                                             std::string_view body) const override;
     [[nodiscard]] engine::Judgement judge(const engine::Facts& facts, const std::string& kind) const override;
     [[nodiscard]] ReleaseScope release_covers() const override { return ReleaseScope::request; }
     [[nodiscard]] bool half_close_cancels() const override { return true; }
--- a/src/core/platform_settings.cpp
+++ b/src/core/platform_settings.cpp
@@ -18,7 +18,7 @@
 config::EdgeSettings platform_settings(const platform::Configuration& told) {
     config::EdgeSettings out;
     out.module = told.settings;
-    out.speaks = config::Speaks::platform;
+    out.protocol = config::ProtocolKind::platform;
     out.name = told.name;
     out.seed = told.seed;
     out.listen = told.listen;
@@ -67,11 +67,11 @@
     l.stream_idle = seconds(4);
     // A server closes a connection at its limit: it is closed here, well before.
     if (told.server_idle > Duration::zero()) l.server_idle = told.server_idle / 2;
-    l.server_rest = milliseconds(5);
+    l.server_preferred_idle = milliseconds(5);
     l.release_timeout = milliseconds(150);
     // What is held has 300 ms beyond its time: four rounds of servers are asked in that.
     l.release_retry = milliseconds(80);
-    l.release_tries = 8;
+    l.release_attempts = 8;
     // The platform kills no sooner than this after SIGTERM. Half of it goes by as before, and what comes then
     // is answered, its stream ended or moved, before the rest is over: else it would count as lost. Where
     // streams can't be moved nobody is taken on later than 0.7 s after the signal, from when on that counts;
--- a/src/core/protocol.cpp
+++ b/src/core/protocol.cpp
@@ -5,8 +5,9 @@
 
 namespace chalksail::core {
 
-std::unique_ptr<Protocol> make_convention(const config::EdgeSettings& settings) {
-    if (settings.speaks == config::Speaks::platform) return std::make_unique<PlatformProtocol>(settings);
+std::unique_ptr<Protocol> make_protocol(const config::EdgeSettings& settings) {
+    if (settings.protocol == config::ProtocolKind::platform)
+        return std::make_unique<PlatformProtocol>(settings);
     return std::make_unique<VllmProtocol>(settings);
 }
 
--- a/src/core/protocol.hpp
+++ b/src/core/protocol.hpp
@@ -34,7 +34,7 @@
 };
 
 // What a read's answer tells.
-struct ReadResult {
+struct PrefillResult {
     std::string state;         // where it waits, for the writer; empty where the request's name is enough
     double prompt_tokens = 0;  // 0: not told
     std::optional<double> cached_tokens;  // found kept
@@ -42,7 +42,7 @@
 
 // What the head of a server's answer tells beside its status.
 struct ResponseHead {
-    engine::NotRun not_run = engine::NotRun::not_said;
+    engine::NotRun not_run = engine::NotRun::unknown;
     std::vector<double> report;
     std::string content_type;
 };
@@ -76,16 +76,16 @@
                                               Duration left) const = 0;
     // Brings the headers of a read or write that waited for its connection up to date.
     virtual void update_time_left(http::Headers&, Duration) const {}
-    [[nodiscard]] virtual std::unique_ptr<DecodeResponseParser> writer_answer() = 0;
+    [[nodiscard]] virtual std::unique_ptr<DecodeResponseParser> decode_parser() = 0;
     // Nothing more is sent for it: what only sending needs can go.
     virtual void drop_request() = 0;
 
     // The text that names its blocks in servers' cache events; empty: not known.
     [[nodiscard]] virtual std::string prompt_text() const { return {}; }
     // A server has counted its prompt.
-    virtual void prompt_counted(double) {}
+    virtual void set_prompt_tokens(double) {}
     // As its answer told; 0: not.
-    [[nodiscard]] virtual double told_prompt_tokens() const { return 0; }
+    [[nodiscard]] virtual double reported_prompt_tokens() const { return 0; }
     [[nodiscard]] virtual double completion_tokens() const { return 0; }
     [[nodiscard]] virtual double cached_tokens() const { return 0; }
 
@@ -98,8 +98,8 @@
     [[nodiscard]] virtual std::optional<std::string> stream_error(int status,
                                                                   const std::string& message) const = 0;
     [[nodiscard]] virtual Answer refusal(Duration retry_after) const = 0;
-    // `once_more`: its client may ask again without harm.
-    [[nodiscard]] virtual Answer failure(int status, const std::string& message, bool once_more) const = 0;
+    // `retryable`: its client may ask again without harm.
+    [[nodiscard]] virtual Answer failure(int status, const std::string& message, bool retryable) const = 0;
     // A server's verdict on the request itself.
     [[nodiscard]] virtual Answer verdict(int status, const ResponseHead& head, std::string body) const = 0;
 };
@@ -119,7 +119,7 @@
     double max_output = 0;
     bool retry = false;  // the client says that it has tried before
     bool again = false;  // ... and wants the rest of a stream that broke
-    std::unique_ptr<ProtocolSession> exchange;
+    std::unique_ptr<ProtocolSession> protocol_session;
 };
 struct Rejection {
     Answer answer;
@@ -137,12 +137,13 @@
     // Nothing has been done for it: harmless to try again.
     [[nodiscard]] virtual Rejection reject(const http::Request& request, std::uint64_t number,
                                            RejectionReason why) const = 0;
-    [[nodiscard]] virtual tl::expected<ParsedRequest, Rejection> take_in(http::Request& request,
-                                                                         std::uint64_t number) = 0;
+    [[nodiscard]] virtual tl::expected<ParsedRequest, Rejection> parse(http::Request& request,
+                                                                       std::uint64_t number) = 0;
 
     [[nodiscard]] virtual ResponseHead read_head(int status, const http::Headers& headers) const = 0;
     // Nothing if it is no read's answer.
-    [[nodiscard]] virtual std::optional<ReadResult> read_result(int status, std::string_view body) const = 0;
+    [[nodiscard]] virtual std::optional<PrefillResult> parse_prefill(int status,
+                                                                     std::string_view body) const = 0;
     // Does a server take the end of this side's sending for the end of the attempt, and close behind it? Then
     // an attempt can be called off with its answer, if that is on its way, still heard.
     [[nodiscard]] virtual bool half_close_cancels() const { return false; }
@@ -168,6 +169,6 @@
                                                            std::string_view body) const = 0;
 };
 
-[[nodiscard]] std::unique_ptr<Protocol> make_convention(const config::EdgeSettings& settings);
+[[nodiscard]] std::unique_ptr<Protocol> make_protocol(const config::EdgeSettings& settings);
 
 }  // namespace chalksail::core
--- a/src/core/vllm_protocol.cpp
+++ b/src/core/vllm_protocol.cpp
@@ -57,14 +57,14 @@
     engine::Usage usage;
 
     [[nodiscard]] ServerRequest read(std::int64_t attempt, Duration) const override {
-        return {"POST", std::string(engine::kChatPath), headers(attempt), engine::read_body(body, chat)};
+        return {"POST", std::string(engine::kChatPath), headers(attempt), engine::prefill_body(body, chat)};
     }
     [[nodiscard]] ServerRequest write(std::int64_t attempt, const std::string& state,
                                       Duration) const override {
         return {"POST", std::string(engine::kChatPath), headers(attempt),
-                engine::write_body(body, chat, state)};
+                engine::decode_body(body, chat, state)};
     }
-    [[nodiscard]] std::unique_ptr<DecodeResponseParser> writer_answer() override;
+    [[nodiscard]] std::unique_ptr<DecodeResponseParser> decode_parser() override;
     void drop_request() override {
         std::string().swap(body);
         std::vector<chat::Member>().swap(chat.members);
@@ -80,8 +80,8 @@
                    ? engine::prompt_text(value, {c.prompt_begin, c.prompt_message})
                    : engine::prompt_text(value);
     }
-    void prompt_counted(double count) override { tokens->correct(cls, chat.prompt_bytes, count); }
-    [[nodiscard]] double told_prompt_tokens() const override { return usage.prompt_tokens; }
+    void set_prompt_tokens(double count) override { tokens->correct(cls, chat.prompt_bytes, count); }
+    [[nodiscard]] double reported_prompt_tokens() const override { return usage.prompt_tokens; }
     [[nodiscard]] double completion_tokens() const override { return usage.completion_tokens; }
 
     [[nodiscard]] bool streams() const override { return chat.stream; }
@@ -114,11 +114,11 @@
                              "server_error", "", "refused"},
                             std::move(headers));
     }
-    [[nodiscard]] Answer failure(int status, const std::string& message, bool once_more) const override {
+    [[nodiscard]] Answer failure(int status, const std::string& message, bool retryable) const override {
         auto headers = named(name);
         // The OpenAI clients try again by themselves after any 5xx. What may have run and must not run twice
         // says no.
-        if (!once_more) headers.add("X-Should-Retry", "false");
+        if (!retryable) headers.add("X-Should-Retry", "false");
         return error_answer({status, message, "server_error", "", "failed"}, std::move(headers));
     }
     [[nodiscard]] Answer verdict(int status, const ResponseHead& head, std::string answer) const override {
@@ -192,7 +192,7 @@
 
 }  // namespace
 
-std::unique_ptr<DecodeResponseParser> VllmProtocol::Request::writer_answer() {
+std::unique_ptr<DecodeResponseParser> VllmProtocol::Request::decode_parser() {
     return std::make_unique<Events<Request>>(*this, settings->limits.event_bytes);
 }
 
@@ -244,7 +244,7 @@
             name, std::string(request.headers.get(engine::kRequestIdHeader))};
 }
 
-tl::expected<ParsedRequest, Rejection> VllmProtocol::take_in(http::Request& request, std::uint64_t number) {
+tl::expected<ParsedRequest, Rejection> VllmProtocol::parse(http::Request& request, std::uint64_t number) {
     ParsedRequest out;
     out.name = name_of(number);
     out.client_name = request.headers.get(engine::kRequestIdHeader);
@@ -314,7 +314,7 @@
     exchange->body = std::move(request.body);
     if (!exchange->chat.stream)
         exchange->collector = std::make_unique<chat::Collector>(settings_.limits.answer_bytes);
-    out.exchange = std::move(exchange);
+    out.protocol_session = std::move(exchange);
     return out;
 }
 
@@ -329,11 +329,11 @@
     return out;
 }
 
-std::optional<ReadResult> VllmProtocol::read_result(int status, std::string_view body) const {
+std::optional<PrefillResult> VllmProtocol::parse_prefill(int status, std::string_view body) const {
     if (status != 200) return std::nullopt;
-    auto answer = engine::parse_read_answer(body);
+    auto answer = engine::parse_prefill_answer(body);
     if (!answer) return std::nullopt;
-    return ReadResult{std::move(answer->kv_params), answer->prompt_tokens, answer->cached_tokens};
+    return PrefillResult{std::move(answer->kv_params), answer->prompt_tokens, answer->cached_tokens};
 }
 
 engine::Judgement VllmProtocol::judge(const engine::Facts& seen, const std::string& kind) const {
--- a/src/engine/outcome.cpp
+++ b/src/engine/outcome.cpp
@@ -6,7 +6,7 @@
     if (value == "full") return NotRun::full;
     if (value == "no-state") return NotRun::no_state;
     if (value == "draining") return NotRun::draining;
-    return NotRun::not_said;
+    return NotRun::unknown;
 }
 
 Judgement judge(const Facts& f) {
@@ -32,10 +32,10 @@
             return {f.sent ? AttemptOutcome::cancelled : AttemptOutcome::connect_failed, false, false};
     }
     if (f.status == 200) {
-        if (f.whole) return {f.read ? AttemptOutcome::prefilled : AttemptOutcome::ok, false, false};
+        if (f.complete) return {f.prefill ? AttemptOutcome::prefilled : AttemptOutcome::ok, false, false};
         return {f.started ? AttemptOutcome::reset : AttemptOutcome::error, false, false};
     }
-    if (f.not_run != NotRun::not_said)
+    if (f.not_run != NotRun::unknown)
         return {AttemptOutcome::at_capacity, f.not_run == NotRun::no_state, false};
     if (f.not_run_status) return {AttemptOutcome::at_capacity, false, false};
     // The server is well and has looked at the request: the same would be said anywhere. 408, 425 and 429 are
--- a/src/engine/outcome.hpp
+++ b/src/engine/outcome.hpp
@@ -30,18 +30,19 @@
 };
 
 // The engine's word that it did not run a request.
-enum class NotRun { not_said, full, no_state, draining };
+enum class NotRun { unknown, full, no_state, draining };
 inline constexpr std::string_view kNotRunHeader = "x-engine-not-run";
 [[nodiscard]] NotRun parse_not_run(std::string_view value);
 
 struct Facts {
     Ending ending = Ending::answered;
     bool sent = false;     // some byte of it was handed to a connection
-    bool read = false;     // at a prefill engine
+    bool prefill = false;  // at a prefill engine
     bool started = false;  // a first piece of the answer has been seen
-    bool whole = false;  // the answer makes sense to its end: state parameters of a read, [DONE] of a stream
+    bool complete =
+        false;  // the answer makes sense to its end: state parameters of a read, [DONE] of a stream
     int status = 0;
-    NotRun not_run = NotRun::not_said;
+    NotRun not_run = NotRun::unknown;
     bool not_run_status = false;  // the settings say of this status that it means "not run"
     bool written = false;         // its last byte went out too: the line where servers begin with it
 };
@@ -49,7 +50,7 @@
 struct Judgement {
     AttemptOutcome outcome = AttemptOutcome::error;
     bool kv_state_missing = false;  // at_capacity only: there was no KV state to fetch
-    bool clients_fault =
+    bool client_error =
         false;  // the engine's verdict on the request itself (4xx): its answer goes to the client
 };
 
--- a/src/engine/protocol.cpp
+++ b/src/engine/protocol.cpp
@@ -61,7 +61,7 @@
 
 }  // namespace
 
-std::string read_body(std::string_view client_body, const chat::Request& request) {
+std::string prefill_body(std::string_view client_body, const chat::Request& request) {
     // min_tokens and n go too: with one token to write, an engine would refuse the first and repeat the
     // second.
     std::vector<chat::Override> overrides = {
@@ -75,8 +75,8 @@
     return chat::rewrite(client_body, members, overrides);
 }
 
-std::string write_body(std::string_view client_body, const chat::Request& request,
-                       std::string_view kv_params) {
+std::string decode_body(std::string_view client_body, const chat::Request& request,
+                        std::string_view kv_params) {
     chat::Override params{"kv_transfer_params", std::nullopt};
     if (!kv_params.empty()) params.json = std::string(kv_params);
     return chat::rewrite(client_body, request.members,
@@ -90,12 +90,12 @@
     return out.done();
 }
 
-std::optional<ReadAnswer> parse_read_answer(std::string_view body) {
+std::optional<PrefillAnswer> parse_prefill_answer(std::string_view body) {
     json::Document doc;
     if (!json::parse(body, doc)) return std::nullopt;
     const auto* params = json::find(doc, "kv_transfer_params");
     if (params == nullptr || !params->IsObject()) return std::nullopt;
-    ReadAnswer out;
+    PrefillAnswer out;
     out.kv_params = json::dump(*params);
     if (const auto usage = usage_of(doc)) {
         out.prompt_tokens = usage->prompt_tokens;
--- a/src/engine/protocol.hpp
+++ b/src/engine/protocol.hpp
@@ -29,19 +29,19 @@
 inline constexpr std::string_view kAttemptHeader = "X-Request-Attempt";
 inline constexpr std::string_view kLoadHeader = "endpoint-load-metrics";
 
-[[nodiscard]] std::string read_body(std::string_view client_body, const chat::Request& request);
+[[nodiscard]] std::string prefill_body(std::string_view client_body, const chat::Request& request);
 // `kv_params`: JSON, as the read's answer gave them; empty where the writer reads by itself.
-[[nodiscard]] std::string write_body(std::string_view client_body, const chat::Request& request,
-                                     std::string_view kv_params);
+[[nodiscard]] std::string decode_body(std::string_view client_body, const chat::Request& request,
+                                      std::string_view kv_params);
 [[nodiscard]] std::string release_body(std::string_view request_id, std::string_view kv_params);
 
-struct ReadAnswer {
+struct PrefillAnswer {
     std::string kv_params;                // JSON object
     double prompt_tokens = 0;             // 0: not told
     std::optional<double> cached_tokens;  // found kept; many engines do not tell
 };
 // Nothing if the body is no read's answer: not JSON, or without kv_transfer_params.
-[[nodiscard]] std::optional<ReadAnswer> parse_read_answer(std::string_view body);
+[[nodiscard]] std::optional<PrefillAnswer> parse_prefill_answer(std::string_view body);
 
 struct Usage {
     double prompt_tokens = 0;
--- a/src/membership/endpoint_list.hpp
+++ b/src/membership/endpoint_list.hpp
@@ -1,5 +1,5 @@
-// The endpoint list as membership sources deliver it: each model server with the addresses at which it is reached.
-// Plain values; no I/O.
+// The endpoint list as membership sources deliver it: each model server with the addresses at which it is
+// reached. Plain values; no I/O.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
--- a/src/membership/verification.cpp
+++ b/src/membership/verification.cpp
@@ -10,28 +10,28 @@
     // Attempts that were on their way when the first one failed tell nothing new.
     if (!fresh && !o.asked) return false;
     o.pause = fresh || o.pause == Duration::zero()
-                  ? pauses_.first
-                  : std::min(pauses_.longest, std::chrono::duration_cast<Duration>(o.pause * pauses_.growth));
+                  ? backoff_.first
+                  : std::min(backoff_.max, std::chrono::duration_cast<Duration>(o.pause * backoff_.growth));
     o.at = now + o.pause;
     o.asked = false;
     return fresh;
 }
 
-void Verification::untold(const std::string& server, Time now) {
+void Verification::inconclusive(const std::string& server, Time now) {
     const auto it = out_.find(server);
     if (it == out_.end()) return;
-    it->second.pause = std::max(it->second.pause, pauses_.first);
+    it->second.pause = std::max(it->second.pause, backoff_.first);
     it->second.at = now + it->second.pause;
     it->second.asked = false;
 }
 
-bool Verification::proved(const std::string& server) { return out_.erase(server) != 0; }
+bool Verification::verified(const std::string& server) { return out_.erase(server) != 0; }
 
 void Verification::changed(const std::string& server, Time now) {
     if (const auto it = out_.find(server); it != out_.end()) it->second = {Duration::zero(), now, false};
 }
 
-void Verification::all_changed(Time now) {
+void Verification::trust_changed(Time now) {
     for (auto& [server, o] : out_) o = {Duration::zero(), now, false};
 }
 
--- a/src/membership/verification.hpp
+++ b/src/membership/verification.hpp
@@ -17,26 +17,26 @@
 
 class Verification {
 public:
-    struct Pauses {
+    struct Backoff {
         Duration first = std::chrono::seconds(1);
-        Duration longest = std::chrono::minutes(5);
+        Duration max = std::chrono::minutes(5);
         double growth = 2;
     };
-    explicit Verification(Pauses pauses) : pauses_(pauses) {}
+    explicit Verification(Backoff backoff) : backoff_(backoff) {}
 
     // It did not prove its name. Returns true if it was not out before.
     bool failed(const std::string& server, Time now);
     // A trial ended without telling anything (no connection, say): another after the same pause.
-    void untold(const std::string& server, Time now);
+    void inconclusive(const std::string& server, Time now);
     // It has proved it. Returns true if it was out before.
-    bool proved(const std::string& server);
+    bool verified(const std::string& server);
     // Its list entry is another now: a trial at once, and short pauses again.
     void changed(const std::string& server, Time now);
     // What is trusted has changed: the same for all.
-    void all_changed(Time now);
+    void trust_changed(Time now);
     void forget(const std::string& server) { out_.erase(server); }
 
-    [[nodiscard]] bool out(const std::string& server) const { return out_.contains(server); }
+    [[nodiscard]] bool unverified(const std::string& server) const { return out_.contains(server); }
     [[nodiscard]] std::size_t count() const { return out_.size(); }
     // Those whose trial is due; each counts as asked, until it is told how that ended.
     [[nodiscard]] std::vector<std::string> due(Time now);
@@ -48,7 +48,7 @@
         Time at{};           // of the next trial
         bool asked = false;  // one is under way
     };
-    Pauses pauses_;
+    Backoff backoff_;
     std::map<std::string, Out> out_;
 };
 
--- a/src/membership/watch_schedule.cpp
+++ b/src/membership/watch_schedule.cpp
@@ -12,7 +12,7 @@
     heard_at_ = now;
 }
 
-void WatchSchedule::heard(Time now, bool midway, bool whole) {
+void WatchSchedule::received(Time now, bool midway, bool whole) {
     heard_at_ = now;
     midway_ = midway;
     if (!whole) return;
@@ -26,7 +26,7 @@
     open_at_ = now + pause_;
 }
 
-void WatchSchedule::moved(Time now) {
+void WatchSchedule::target_changed(Time now) {
     open_ = false;
     pause_ = {};
     open_at_ = now;
--- a/src/membership/watch_schedule.hpp
+++ b/src/membership/watch_schedule.hpp
@@ -30,11 +30,11 @@
     // A call has been started.
     void opened(Time now);
     // Bytes of its answer have come. `midway`: they end inside an object. `whole`: one or more ended in them.
-    void heard(Time now, bool midway, bool whole);
+    void received(Time now, bool midway, bool whole);
     // The call is over, whatever ended it.
     void ended(Time now);
     // The list is at another place: to be opened there at once.
-    void moved(Time now);
+    void target_changed(Time now);
 
     // Is the call to be given up?
     [[nodiscard]] bool silent(Time now) const;
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -26,7 +26,7 @@
 }  // namespace
 
 DiscoveryWatch::DiscoveryWatch(uv_loop_t& loop, observe::Log& log, Address discovery,
-                               std::optional<platform::ListUpdate> known, WatchLimits limits)
+                               std::optional<platform::EndpointListUpdate> known, WatchLimits limits)
     : log_(log),
       discovery_(std::move(discovery)),
       known_(std::move(known)),
@@ -70,7 +70,7 @@
     log_.info("discovery", "moves to " + format_address(discovery));
     discovery_ = std::move(discovery);
     if (out_) pool_.cancel(call_);
-    schedule_.moved(uv_now_time());
+    schedule_.target_changed(uv_now_time());
     open();
 }
 
@@ -95,14 +95,14 @@
 
 void DiscoveryWatch::on_head(UpstreamPool::Call call, int status, http::Headers) {
     if (call != call_ || !out_) return;
-    if (status == 200) schedule_.heard(uv_now_time(), false, false);
+    if (status == 200) schedule_.received(uv_now_time(), false, false);
     else give_up("answers " + std::to_string(status));
 }
 
 void DiscoveryWatch::on_body(UpstreamPool::Call call, std::string bytes) {
     if (call != call_ || !out_) return;
     const auto objects = objects_.feed(bytes);
-    schedule_.heard(uv_now_time(), objects_.midway(), !objects.empty());
+    schedule_.received(uv_now_time(), objects_.midway(), !objects.empty());
     for (const auto& text : objects) {
         take_object(text);
         if (!out_) return;
@@ -111,7 +111,7 @@
 }
 
 void DiscoveryWatch::take_object(const std::string& text) {
-    const auto update = platform::parse_list(text);
+    const auto update = platform::parse_endpoint_list(text);
     if (!update) return give_up("told what can't be read: " + update.error());
     // Guards against going back, and against missing what came in between: changes follow each other upwards.
     // Where they don't, discovery has started anew under this watch, and only the whole list tells what
@@ -135,7 +135,7 @@
     wall_clock_.observe(now, wall_now());
 }
 
-void DiscoveryWatch::take(const platform::ListUpdate& update, EndpointUpdateKind scope) {
+void DiscoveryWatch::take(const platform::EndpointListUpdate& update, EndpointUpdateKind scope) {
     look_at_clocks(uv_now_time());
     if (update.whole) start_times_.forget_all_but(update.instances);
     membership::EndpointList list;
--- a/src/net/discovery_watch.hpp
+++ b/src/net/discovery_watch.hpp
@@ -17,7 +17,7 @@
 #include "membership/watch_schedule.hpp"
 #include "net/upstream_pool.hpp"
 #include "observe/log.hpp"
-#include "platform/list.hpp"
+#include "platform/endpoint_list.hpp"
 
 namespace chalksail::net {
 
@@ -27,7 +27,7 @@
 public:
     // `known`: a list from before, which may be old.
     DiscoveryWatch(uv_loop_t& loop, observe::Log& log, Address discovery,
-                   std::optional<platform::ListUpdate> known, WatchLimits limits = {});
+                   std::optional<platform::EndpointListUpdate> known, WatchLimits limits = {});
     ~DiscoveryWatch() override;
     DiscoveryWatch(const DiscoveryWatch&) = delete;
     DiscoveryWatch& operator=(const DiscoveryWatch&) = delete;
@@ -46,12 +46,12 @@
     void give_up(const std::string& why);
     void end(const std::string& why);
     void take_object(const std::string& text);
-    void take(const platform::ListUpdate& update, EndpointUpdateKind scope);
+    void take(const platform::EndpointListUpdate& update, EndpointUpdateKind scope);
     void look_at_clocks(Time now);
 
     observe::Log& log_;
     Address discovery_;
-    std::optional<platform::ListUpdate> known_;
+    std::optional<platform::EndpointListUpdate> known_;
     WatchLimits limits_;
     UpstreamPool pool_;
     membership::ListSink* sink_ = nullptr;
--- a/src/net/edge_server.cpp
+++ b/src/net/edge_server.cpp
@@ -48,7 +48,7 @@
     out.connections = static_cast<std::size_t>(s.limits.server_connections);
     out.dial_timeout = s.module.dial_timeout;
     out.idle = s.limits.server_idle;
-    out.rest = s.limits.server_rest;
+    out.rest = s.limits.server_preferred_idle;
     out.settle = s.limits.release_timeout;
     out.handshakes = {static_cast<std::size_t>(s.limits.handshakes),
                       static_cast<std::size_t>(s.limits.handshakes_per_server)};
@@ -150,8 +150,8 @@
             inputs_.emplace_back(core::CacheSnapshots{snapshots_->all()});
         }
     }
-    address_ = clients_->listen(settings_.listen,
-                                listener_tls_ ? HttpServer::Speaks::tls : HttpServer::Speaks::clear);
+    address_ = clients_->listen(
+        settings_.listen, listener_tls_ ? HttpServer::ProtocolKind::tls : HttpServer::ProtocolKind::clear);
     if (admin_) admin_address_ = admin_->listen(*settings_.admin);
 
     turn_ = new uv_idle_t;
@@ -176,7 +176,8 @@
         uv_timer_init(&loop_, reload_timer_);
         reload_timer_->data = this;
         const auto look = static_cast<std::uint64_t>(
-            std::chrono::duration_cast<std::chrono::milliseconds>(settings_.limits.tls_look).count());
+            std::chrono::duration_cast<std::chrono::milliseconds>(settings_.limits.tls_poll_interval)
+                .count());
         uv_timer_start(
             reload_timer_,
             [](uv_timer_t* t) {
@@ -242,7 +243,7 @@
 
 void EdgeServer::on_cache_message(const std::string& server, std::uint64_t sequence, std::string payload,
                                   bool replayed) {
-    add(core::CacheMessage{server, sequence, std::move(payload), replayed});
+    add(core::CacheEventMessage{server, sequence, std::move(payload), replayed});
 }
 void EdgeServer::on_cache_replay_ended(const std::string& server) { add(core::CacheReplayEnded{server}); }
 
@@ -278,7 +279,7 @@
     log_.warn("slow_turn", "the loop stood still for " + milliseconds_text(report->longest) +
                                " at worst; such turns: " + std::to_string(report->count) + "; " +
                                std::to_string(edge_.gauges().open_requests) + " requests are open, " +
-                               std::to_string(edge_.server_count()) + " servers known");
+                               std::to_string(edge_.endpoint_count()) + " servers known");
 }
 
 void EdgeServer::reload_tls() {
@@ -327,7 +328,7 @@
         if (call->kind == core::CallKind::verify)
             return servers_->connect(call->call.value, target_of(*call));
         servers_->start(call->call.value, target_of(*call), call->method, call->target,
-                        std::move(call->headers), call->body, call->worth,
+                        std::move(call->headers), call->body, call->priority,
                         call->kind == core::CallKind::release);
     } else if (const auto* abort = std::get_if<core::CallAbort>(&output)) {
         servers_->cancel(abort->call.value);
@@ -337,28 +338,28 @@
         servers_->settle(settled->call.value);
     } else if (const auto* flow = std::get_if<core::SetCallPaused>(&output)) {
         servers_->flow(flow->call.value, flow->paused);
-    } else if (const auto* follow = std::get_if<core::CacheFollow>(&output)) {
+    } else if (const auto* follow = std::get_if<core::SubscribeCacheEvents>(&output)) {
         try {
             caches_->follow(follow->server, follow->events, follow->replay);
         } catch (const std::runtime_error& error) {
             // Its text is guessed, as if it published nothing.
             log_.error("cache_events", error.what());
         }
-    } else if (const auto* leave = std::get_if<core::CacheLeave>(&output)) {
+    } else if (const auto* leave = std::get_if<core::UnsubscribeCacheEvents>(&output)) {
         caches_->leave(leave->server);
-    } else if (const auto* replay = std::get_if<core::CacheReplay>(&output)) {
+    } else if (const auto* replay = std::get_if<core::ReplayCacheEvents>(&output)) {
         caches_->replay(replay->server, replay->from);
-    } else if (const auto* keep = std::get_if<core::CacheKeep>(&output)) {
+    } else if (const auto* keep = std::get_if<core::StoreCacheSnapshot>(&output)) {
         store_snapshot([&] {
             snapshots_->put(keep->server, keep->snapshot);
             snapshots_written_ += 1;
         });
-    } else if (const auto* drop = std::get_if<core::CacheDrop>(&output)) {
+    } else if (const auto* drop = std::get_if<core::DropCacheSnapshot>(&output)) {
         store_snapshot([&] { snapshots_->erase(drop->server); });
     } else if (const auto* note = std::get_if<core::EmitRecord>(&output)) {
         if (admin_) metrics_.count(note->record);  // else nobody can ask for them
         log_.write(note->record);
-    } else if (const auto* gone = std::get_if<core::ServerForgotten>(&output)) {
+    } else if (const auto* gone = std::get_if<core::EndpointForgotten>(&output)) {
         metrics_.forget(gone->server);
     }
 }
@@ -383,7 +384,8 @@
         return admin_->reply(peer, 200, headers, R"({"taken":true})");
     }
     if (path == "/servers" && request.method == "GET")
-        return admin_->reply(peer, 200, headers, format_server_list(edge_.listed(), admin_source_->offset()));
+        return admin_->reply(peer, 200, headers,
+                             format_server_list(edge_.endpoints(), admin_source_->offset()));
     if (path == "/metrics" && request.method == "GET") {
         const auto g = edge_.gauges();
         const auto c = clients_->counts();
@@ -391,7 +393,7 @@
         metrics_.set("open_requests", static_cast<double>(g.open_requests));
         metrics_.set("started_streams", static_cast<double>(g.started_streams));
         metrics_.set("calls_out", static_cast<double>(g.calls));
-        metrics_.set("states_held", static_cast<double>(g.states_held));
+        metrics_.set("states_held", static_cast<double>(g.kv_states_held));
         metrics_.set("client_connections", static_cast<double>(c.connections));
         metrics_.set("client_connections_over_limit", static_cast<double>(c.over_limit));
         metrics_.set("client_accept_errors", static_cast<double>(accept_errors_));
@@ -426,7 +428,7 @@
             const auto& p = g.prefixes;
             const auto heard = caches_->counts();
             metrics_.set("prefix_servers_followed", static_cast<double>(heard.followed));
-            metrics_.set("prefix_servers_told", static_cast<double>(p.told));
+            metrics_.set("prefix_servers_told", static_cast<double>(p.trusted));
             metrics_.set("prefix_blocks", static_cast<double>(p.blocks));
             metrics_.set("prefix_messages", static_cast<double>(p.messages));
             metrics_.set("prefix_messages_bad", static_cast<double>(p.bad_messages + heard.malformed));
@@ -491,11 +493,11 @@
         case core::Shutdown::Step::stop_taking:
             clients_->stop_listening();
             clients_->drain();
-            return add(core::DrainBegins{});
+            return add(core::DrainStarted{});
         case core::Shutdown::Step::answer_all:
             log_.warn("drain", "time is over; " + std::to_string(edge_.gauges().open_requests) +
                                    " requests are ended");
-            return add(core::DrainEnds{});
+            return add(core::DrainExpired{});
         case core::Shutdown::Step::end_connections: return clients_->end_all();
     }
 }
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -113,7 +113,7 @@
              [](uv_handle_t* h) { delete reinterpret_cast<uv_timer_t*>(h); });
 }
 
-Address HttpServer::listen(const Address& address, Speaks speaks) {
+Address HttpServer::listen(const Address& address, ProtocolKind speaks) {
     auto* const listener = new Listener(loop_, *this, address);
     listeners_.emplace(listener, speaks);
     return listener->address();
@@ -126,7 +126,7 @@
 void HttpServer::on_accept_error(int error) { handler_.on_accept_failed(error); }
 
 void HttpServer::on_accepted(Listener& listener, int descriptor) {
-    const bool wants_tls = listeners_.at(&listener) == Speaks::tls;
+    const bool wants_tls = listeners_.at(&listener) == ProtocolKind::tls;
     if (wants_tls && tls_ == nullptr) {
         ::close(descriptor);
         return;
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -88,10 +88,10 @@
 
     // What connections accepted from now on speak at listeners that want TLS.
     void set_tls(std::shared_ptr<tls::Context> context) { tls_ = std::move(context); }
-    enum class Speaks { clear, tls };
+    enum class ProtocolKind { clear, tls };
     // Returns the address in use: port 0 asks for a free one. May be called for more than one address. At one
     // that speaks TLS nothing is accepted before set_tls().
-    Address listen(const Address& address, Speaks speaks = Speaks::clear);
+    Address listen(const Address& address, ProtocolKind speaks = ProtocolKind::clear);
     // Takes what has reached this machine, and listens no longer.
     void stop_listening();
     [[nodiscard]] bool listening() const { return !listeners_.empty(); }
@@ -162,7 +162,7 @@
     Handler& handler_;
     ServerLimits limits_;
     std::shared_ptr<tls::Context> tls_;
-    std::map<Listener*, Speaks> listeners_;
+    std::map<Listener*, ProtocolKind> listeners_;
     uv_timer_t* sweeper_ = nullptr;
     std::vector<char> read_buffer_;
     std::unordered_map<std::uint64_t, Connection*> connections_;
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -40,7 +40,7 @@
             .number("ms", ms(r.total))
             .number("first_token_ms", ms(r.first_token))
             .number("prompt_tokens", r.prompt_tokens)
-            .number("prompt_tokens_told", r.prompt_tokens_told)
+            .number("prompt_tokens_told", r.reported_prompt_tokens)
             .number("completion_tokens", r.completion_tokens)
             .whole("chunks", r.chunks)
             .flag("stream", r.streamed)
--- a/src/observe/record.hpp
+++ b/src/observe/record.hpp
@@ -40,7 +40,7 @@
     Duration total{};
     Duration first_token{};    // zero: none
     double prompt_tokens = 0;  // as estimated; with the engine's figure beside it, 0 if not told
-    double prompt_tokens_told = 0;
+    double reported_prompt_tokens = 0;
     double completion_tokens = 0;
     std::int64_t chunks = 0;
     bool streamed = false;
--- a/src/platform/answer.cpp
+++ b/src/platform/answer.cpp
@@ -20,23 +20,23 @@
 
 std::string lease_target(std::string_view id) { return "/kv/leases/" + std::string(id); }
 
-Verdict judge(const Facts& f) {
+Judgement judge(const Facts& f) {
     switch (f.ended) {
         case Ended::answered: break;
         case Ended::no_connection:
         case Ended::broke: return {f.written ? AttemptOutcome::reset : AttemptOutcome::connect_failed};
-        case Ended::spoilt: return {f.started ? AttemptOutcome::reset : AttemptOutcome::error};
+        case Ended::malformed: return {f.started ? AttemptOutcome::reset : AttemptOutcome::error};
         case Ended::timed_out: return {f.written ? AttemptOutcome::timeout : AttemptOutcome::connect_failed};
-        case Ended::called_off:
+        case Ended::cancelled:
             return {f.written ? AttemptOutcome::cancelled : AttemptOutcome::connect_failed};
     }
     if (f.not_run && f.status == kStateGone) return {AttemptOutcome::at_capacity, true};
     if (f.not_run && (f.status == 503 || f.status == 504)) return {AttemptOutcome::at_capacity};
     // An answer before the request's last byte has gone out: what was not whole was not begun.
     if (!f.written) return {AttemptOutcome::connect_failed};
-    if (f.read && f.status == kReadDone && f.whole) return {AttemptOutcome::prefilled};
-    if (!f.read && f.status == 200) {
-        if (f.whole) return {AttemptOutcome::ok};
+    if (f.prefill && f.status == kReadDone && f.complete) return {AttemptOutcome::prefilled};
+    if (!f.prefill && f.status == 200) {
+        if (f.complete) return {AttemptOutcome::ok};
         return {f.started ? AttemptOutcome::reset : AttemptOutcome::error};
     }
     return {AttemptOutcome::error};
@@ -90,7 +90,7 @@
         cached_tokens_ = number(json::find(*details, "cached_tokens"));
 }
 
-std::optional<double> read_cached_tokens(std::string_view body) {
+std::optional<double> parse_cached_tokens(std::string_view body) {
     json::Document doc;
     if (!json::parse(body, doc)) return std::nullopt;
     const auto* cached = json::find(doc, "cached_tokens");
--- a/src/platform/answer.hpp
+++ b/src/platform/answer.hpp
@@ -24,25 +24,25 @@
     answered,       // an answer came to its end
     no_connection,  // refused, never up, or none could be had
     broke,          // the connection broke or ended
-    spoilt,         // what came can't be read, or does not fit
+    malformed,      // what came can't be read, or does not fit
     timed_out,      // this gateway stopped waiting
-    called_off,     // this gateway gave it up
+    cancelled,      // this gateway gave it up
 };
 struct Facts {
     Ended ended = Ended::answered;
-    bool written = false;  // the request's last byte went out
-    bool read = false;     // at a reader
-    bool started = false;  // an event of it was passed on
-    bool whole = false;    // a stream to its [DONE] and last chunk, or a read's answer
+    bool written = false;   // the request's last byte went out
+    bool prefill = false;   // at a reader
+    bool started = false;   // an event of it was passed on
+    bool complete = false;  // a stream to its [DONE] and last chunk, or a read's answer
     int status = 0;
     bool not_run = false;  // the server's word for it
 };
-struct Verdict {
+struct Judgement {
     AttemptOutcome outcome = AttemptOutcome::error;
     bool kv_state_missing = false;  // at_capacity only: there was no KV state to fetch
 };
 // The page's table, in its one place.
-[[nodiscard]] Verdict judge(const Facts& facts);
+[[nodiscard]] Judgement judge(const Facts& facts);
 
 // Cuts a stream into its events, which it leaves as they are.
 class EventReader {
@@ -74,6 +74,6 @@
 };
 
 // Of a read's answer: tokens found kept; nothing where the body does not say.
-[[nodiscard]] std::optional<double> read_cached_tokens(std::string_view body);
+[[nodiscard]] std::optional<double> parse_cached_tokens(std::string_view body);
 
 }  // namespace chalksail::platform
--- a/src/platform/configuration.cpp
+++ b/src/platform/configuration.cpp
@@ -59,7 +59,7 @@
         const Json& allowed = object(settings, "limits");
         out.server_idle = optional<Duration>(allowed, "conn_idle_ns");
         if (const Json* known = find(o, "known")) {
-            auto list = read_list(*known);
+            auto list = read_endpoint_list(*known);
             if (!list) throw BadField("known: " + list.error());
             out.known = std::move(*list);
         }
--- a/src/platform/configuration.hpp
+++ b/src/platform/configuration.hpp
@@ -10,7 +10,7 @@
 #include <tl/expected.hpp>
 
 #include "base/units.hpp"
-#include "platform/list.hpp"
+#include "platform/endpoint_list.hpp"
 
 namespace chalksail::platform {
 
@@ -26,7 +26,7 @@
     Address discovery;
     std::uint64_t seed = 0;
     Limits limits;
-    std::optional<ListUpdate> known;  // the list may be old
+    std::optional<EndpointListUpdate> known;  // the list may be old
     Settings settings;
     Duration server_idle{};  // a server closes a connection not used for so long
 };
--- a/src/platform/list.cpp
+++ b/src/platform/endpoint_list.cpp
@@ -1,4 +1,4 @@
-#include "platform/list.hpp"
+#include "platform/endpoint_list.hpp"
 
 #include <set>
 #include <utility>
@@ -9,8 +9,8 @@
 namespace chalksail::platform {
 namespace {
 
-Instance read_instance(const Json& item) {
-    Instance out;
+EndpointEntry read_instance(const Json& item) {
+    EndpointEntry out;
     out.id = required<std::string>(item, "instanceId");
     if (out.id.empty()) reject("instanceId", "text wanted");
     out.state = word<EndpointState>(item, "lifecycle",
@@ -35,10 +35,10 @@
 
 }  // namespace
 
-tl::expected<ListUpdate, std::string> read_list(const Json& list) {
+tl::expected<EndpointListUpdate, std::string> read_endpoint_list(const Json& list) {
     try {
         if (!list.IsObject()) return tl::unexpected(std::string("an object wanted"));
-        ListUpdate out;
+        EndpointListUpdate out;
         out.generation = required<std::int64_t>(list, "generation");
         out.whole = optional<bool>(list, "reset");
         std::set<std::string> named;
@@ -53,10 +53,10 @@
     }
 }
 
-tl::expected<ListUpdate, std::string> parse_list(std::string_view text) {
+tl::expected<EndpointListUpdate, std::string> parse_endpoint_list(std::string_view text) {
     json::Document list;
     if (!json::parse(text, list)) return tl::unexpected(std::string("not JSON"));
-    return read_list(list);
+    return read_endpoint_list(list);
 }
 
 std::string watch_target() { return "/v1/endpoints?follow=1&since=0"; }
--- a/src/platform/list.hpp
+++ b/src/platform/endpoint_list.hpp
@@ -14,7 +14,7 @@
 
 namespace chalksail::platform {
 
-struct Instance {
+struct EndpointEntry {
     std::string id;
     Address address;
     std::string zone;
@@ -24,16 +24,16 @@
     double weight = 1;
     std::int64_t started_unix_ms = 0;  // 0: long ago
 };
-struct ListUpdate {
+struct EndpointListUpdate {
     std::int64_t generation = 0;
     bool whole = false;  // all that are left out are gone
-    std::vector<Instance> instances;
+    std::vector<EndpointEntry> instances;
 };
 
 // Taken whole or not at all: an unknown word, a name twice, an address that is none refuse all of it, with
 // the reason.
-[[nodiscard]] tl::expected<ListUpdate, std::string> read_list(const rapidjson::Value& list);
-[[nodiscard]] tl::expected<ListUpdate, std::string> parse_list(std::string_view text);
+[[nodiscard]] tl::expected<EndpointListUpdate, std::string> read_endpoint_list(const rapidjson::Value& list);
+[[nodiscard]] tl::expected<EndpointListUpdate, std::string> parse_endpoint_list(std::string_view text);
 
 // The path of a watch that begins with the whole list. Versions are not asked for: a discovery that has
 // started anew, or another one, may count from a lower number, and would leave out what it thinks is known.
--- a/src/prefix/knowledge.cpp
+++ b/src/prefix/reported_caches.cpp
@@ -1,4 +1,4 @@
-#include "prefix/knowledge.hpp"
+#include "prefix/reported_caches.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -25,10 +25,10 @@
 
 }  // namespace
 
-Knowledge::Knowledge(TokenText text, Limits limits)
+ReportedCaches::ReportedCaches(TokenText text, Limits limits)
     : limits_(limits), index_(std::move(text), limits.index) {}
 
-void Knowledge::listed(const std::string& server, std::string_view space, Time born) {
+void ReportedCaches::add(const std::string& server, std::string_view space, Time born) {
     const auto known = servers_.find(server);
     if (known != servers_.end() && known->second.space == space) {
         if (known->second.born == born) return;
@@ -36,7 +36,7 @@
         auto act = known->second.feed.restarted();
         return carry_out(known->second, act);
     }
-    if (known != servers_.end()) gone(server);
+    if (known != servers_.end()) remove(server);
     Entry e;
     e.space = space;
     e.born = born;
@@ -47,7 +47,7 @@
     servers_.emplace(server, std::move(e));
 }
 
-void Knowledge::gone(const std::string& server) {
+void ReportedCaches::remove(const std::string& server) {
     const auto it = servers_.find(server);
     if (it == servers_.end()) return;
     if (it->second.told_before) gone_.push_back({{server}, false});
@@ -55,7 +55,7 @@
     servers_.erase(it);
 }
 
-void Knowledge::carry_out(Entry& e, Feed::Act& act) {
+void ReportedCaches::carry_out(Entry& e, Feed::Act& act) {
     if (act.forget) index_.forget(e.engine);
     for (const auto& batch : act.apply) {
         counts_.unknown_events += batch.unknown;
@@ -63,8 +63,8 @@
     }
 }
 
-std::optional<std::uint64_t> Knowledge::message(const std::string& server, std::uint64_t sequence,
-                                                std::string_view payload, bool replayed) {
+std::optional<std::uint64_t> ReportedCaches::on_message(const std::string& server, std::uint64_t sequence,
+                                                        std::string_view payload, bool replayed) {
     const auto it = servers_.find(server);
     if (it == servers_.end()) return std::nullopt;
     counts_.messages += 1;
@@ -82,22 +82,22 @@
     return act.replay_from;
 }
 
-void Knowledge::replay_ended(const std::string& server) {
+void ReportedCaches::replay_ended(const std::string& server) {
     const auto it = servers_.find(server);
     if (it == servers_.end()) return;
     auto act = it->second.feed.replay_ended();
     carry_out(it->second, act);
 }
 
-std::optional<std::string> Knowledge::snapshot(const std::string& server) const {
+std::optional<std::string> ReportedCaches::snapshot(const std::string& server) const {
     const auto it = servers_.find(server);
     if (it == servers_.end() || !it->second.feed.known() || it->second.feed.next() == 0) return std::nullopt;
     const Entry& e = it->second;
     return encode(Snapshot{e.space, e.feed.next(), e.feed.last_ts(), index_.blocks_of(e.engine)});
 }
 
-tl::expected<std::uint64_t, std::string> Knowledge::restore(const std::string& server,
-                                                            std::string_view bytes) {
+tl::expected<std::uint64_t, std::string> ReportedCaches::restore(const std::string& server,
+                                                                 std::string_view bytes) {
     const auto it = servers_.find(server);
     if (it == servers_.end()) return tl::unexpected(std::string("not listed"));
     Entry& e = it->second;
@@ -110,7 +110,8 @@
     return *e.feed.resumed(snapshot->next, snapshot->last_ts).replay_from;
 }
 
-std::vector<CachedPrefix> Knowledge::claims(std::string_view space, std::string_view text) const {
+std::vector<CachedPrefix> ReportedCaches::cached_prefixes(std::string_view space,
+                                                          std::string_view text) const {
     std::vector<CachedPrefix> out;
     for (const auto& h : index_.held(space, text))
         out.push_back({{by_engine_[h.engine]}, static_cast<double>(h.tokens)});
@@ -118,40 +119,43 @@
     return out;
 }
 
-bool Knowledge::told(const std::string& server) const {
+bool ReportedCaches::trusted(const std::string& server) const {
     const auto it = servers_.find(server);
     return it != servers_.end() && it->second.believed && it->second.feed.known();
 }
 
-void Knowledge::Pace::add(double value) {
+void ReportedCaches::Pace::add(double value) {
     heard += 1;
     mean += std::max(kPaceStep, 1 / static_cast<double>(heard)) * (value - mean);
 }
 
 // The part of the claim that was kept, as far as the time tells: none, all, or nothing to go by.
-std::optional<double> Knowledge::by_time(const Pace& own, const ReadSeen& read) const {
+std::optional<double> ReportedCaches::by_time(const Pace& own, const ObservedPrefill& read) const {
     const Pace& pace = own.heard >= kPaceHeard ? own : pace_;
-    if (pace.heard < kPaceHeard || pace.mean <= 0 || read.claimed < kMuch * read.prompt) return std::nullopt;
-    const double part = seconds(read.taken) / (pace.mean * read.prompt);
+    if (pace.heard < kPaceHeard || pace.mean <= 0 || read.reported_tokens < kMuch * read.prompt_tokens)
+        return std::nullopt;
+    const double part = seconds(read.elapsed) / (pace.mean * read.prompt_tokens);
     if (part >= 1) return 0;
     if (part <= kQuick) return 1;
     return std::nullopt;
 }
 
-void Knowledge::observed(const std::string& server, const ReadSeen& read) {
+void ReportedCaches::observed(const std::string& server, const ObservedPrefill& read) {
     const auto it = servers_.find(server);
-    if (it == servers_.end() || read.prompt <= 0) return;
+    if (it == servers_.end() || read.prompt_tokens <= 0) return;
     Entry& e = it->second;
-    if (read.claimed < kLittle * read.prompt && read.found.value_or(0) < kLittle * read.prompt) {
-        const double pace = seconds(read.taken) / read.prompt;
+    if (read.reported_tokens < kLittle * read.prompt_tokens &&
+        read.cached_tokens.value_or(0) < kLittle * read.prompt_tokens) {
+        const double pace = seconds(read.elapsed) / read.prompt_tokens;
         e.pace.add(pace);
         pace_.add(pace);
     }
     // Guards against a snapshot that is not proved yet: what it claims is no word of the engine.
-    if (read.claimed <= 0 || !e.feed.known()) return;
+    if (read.reported_tokens <= 0 || !e.feed.known()) return;
     const auto time = by_time(e.pace, read);
-    const auto word =
-        read.found ? std::optional(std::clamp(*read.found / read.claimed, 0.0, 1.0)) : std::nullopt;
+    const auto word = read.cached_tokens
+                          ? std::optional(std::clamp(*read.cached_tokens / read.reported_tokens, 0.0, 1.0))
+                          : std::nullopt;
     // A good word does not outweigh a read that took as long as if nothing had been kept.
     if (word && !(time && *time == 0 && *word > kTrustLost)) e.trust += kTrustStep * (*word - e.trust);
     else if (time) e.trust += kTimeStep * (*time - e.trust);
@@ -159,7 +163,7 @@
     if (e.trust > kTrustBack) e.believed = true;
 }
 
-std::vector<CacheReportingChanged> Knowledge::changes() {
+std::vector<CacheReportingChanged> ReportedCaches::changes() {
     std::vector<CacheReportingChanged> out = std::exchange(gone_, {});
     for (auto& [name, e] : servers_) {
         const bool now = e.believed && e.feed.known();
@@ -170,12 +174,12 @@
     return out;
 }
 
-Knowledge::Counts Knowledge::counts() const {
+ReportedCaches::Counts ReportedCaches::counts() const {
     Counts out = counts_;
     out.servers = servers_.size();
     out.blocks = index_.blocks();
     for (const auto& [name, e] : servers_) {
-        out.told += told(name) ? 1 : 0;
+        out.trusted += trusted(name) ? 1 : 0;
         out.gaps += e.feed.counts().gaps;
         out.unfilled += e.feed.counts().unfilled;
         out.restarts += e.feed.counts().restarts;
--- a/src/prefix/knowledge.hpp
+++ b/src/prefix/reported_caches.hpp
@@ -18,24 +18,24 @@
 
 namespace chalksail::prefix {
 
-class Knowledge {
+class ReportedCaches {
 public:
     struct Limits {
         Index::Limits index;
         DecodeLimits decode;
         std::size_t held_batches = 1024;  // of one server, while a replay is under way
     };
-    explicit Knowledge(TokenText text) : Knowledge(std::move(text), Limits{}) {}
-    Knowledge(TokenText text, Limits limits);
+    explicit ReportedCaches(TokenText text) : ReportedCaches(std::move(text), Limits{}) {}
+    ReportedCaches(TokenText text, Limits limits);
 
     // A server that publishes; `born` as in the list: another one is another process. Nothing where it is
     // known.
-    void listed(const std::string& server, std::string_view space, Time born);
-    void gone(const std::string& server);
+    void add(const std::string& server, std::string_view space, Time born);
+    void remove(const std::string& server);
 
     // One message of its stream, or of a replay. What it wants replayed, if anything.
-    std::optional<std::uint64_t> message(const std::string& server, std::uint64_t sequence,
-                                         std::string_view payload, bool replayed);
+    std::optional<std::uint64_t> on_message(const std::string& server, std::uint64_t sequence,
+                                            std::string_view payload, bool replayed);
     void replay_ended(const std::string& server);
 
     // What is known of a server, to be kept over a restart of this gateway; nothing while that is nothing, or
@@ -47,23 +47,24 @@
                                                                    std::string_view snapshot);
 
     // Tokens of this text that each server says it holds, by server; also of those not believed.
-    [[nodiscard]] std::vector<CachedPrefix> claims(std::string_view space, std::string_view text) const;
+    [[nodiscard]] std::vector<CachedPrefix> cached_prefixes(std::string_view space,
+                                                            std::string_view text) const;
     // Is its word to be used, and its silence taken for nothing held?
-    [[nodiscard]] bool told(const std::string& server) const;
+    [[nodiscard]] bool trusted(const std::string& server) const;
     // How a read went at a server, of whose prompt it had claimed to hold some tokens, or none.
-    struct ReadSeen {
-        double prompt = 0;  // tokens
-        double claimed = 0;
-        std::optional<double> found;  // kept, by the engine's own word; many do not tell
-        Duration taken{};
+    struct ObservedPrefill {
+        double prompt_tokens = 0;  // tokens
+        double reported_tokens = 0;
+        std::optional<double> cached_tokens;  // kept, by the engine's own word; many do not tell
+        Duration elapsed{};
     };
-    void observed(const std::string& server, const ReadSeen& read);
+    void observed(const std::string& server, const ObservedPrefill& read);
     // Servers whose told() is not what it was when this was last asked.
     [[nodiscard]] std::vector<CacheReportingChanged> changes();
 
     struct Counts {
         std::uint64_t messages = 0, bad_messages = 0, unknown_events = 0;
-        std::size_t servers = 0, told = 0, blocks = 0;
+        std::size_t servers = 0, trusted = 0, blocks = 0;
         std::uint64_t gaps = 0, unfilled = 0, restarts = 0;
         std::uint64_t proved = 0, unproved = 0;  // snapshots taken back
     };
@@ -78,7 +79,7 @@
         std::uint64_t heard = 0;
         void add(double value);
     };
-    [[nodiscard]] std::optional<double> by_time(const Pace& own, const ReadSeen& read) const;
+    [[nodiscard]] std::optional<double> by_time(const Pace& own, const ObservedPrefill& read) const;
     struct Entry {
         std::string space;
         Time born{};
--- a/tests/core/driver.hpp
+++ b/tests/core/driver.hpp
@@ -66,7 +66,7 @@
             else if (std::get_if<StreamEnd>(&o) != nullptr) streams_ended += 1;
             else if (std::get_if<AbortStream>(&o) != nullptr) streams_cut += 1;
             else if (auto* flow = std::get_if<SetCallPaused>(&o)) flows.push_back(*flow);
-            else if (auto* gone = std::get_if<ServerForgotten>(&o)) forgotten.push_back(gone->server);
+            else if (auto* gone = std::get_if<EndpointForgotten>(&o)) forgotten.push_back(gone->server);
             else if (auto* note = std::get_if<EmitRecord>(&o)) {
                 if (auto* r = std::get_if<observe::RequestRecord>(&note->record)) requests.push_back(*r);
                 if (auto* a = std::get_if<observe::AttemptRecord>(&note->record)) attempts.push_back(*a);
@@ -161,8 +161,8 @@
     const auto g = d.edge.gauges();
     EXPECT_EQ(g.open_requests, 0U);
     EXPECT_EQ(g.started_streams, 0U);
-    EXPECT_EQ(g.states_held, 0U);
-    EXPECT_EQ(g.tracked_by_module, 0U);
+    EXPECT_EQ(g.kv_states_held, 0U);
+    EXPECT_EQ(g.tracked_by_router, 0U);
     EXPECT_TRUE(d.guards.empty());
 }
 
--- a/tests/core/edge_test.cpp
+++ b/tests/core/edge_test.cpp
@@ -22,20 +22,20 @@
     ASSERT_EQ(d.sent().size(), 1U);
     const Call read = d.sent()[0];
     EXPECT_EQ(read.server[0], 'r');
-    const auto read_body = parsed(read.body);
-    EXPECT_EQ(read_body["max_tokens"].GetInt(), 1);
-    EXPECT_FALSE(read_body["stream"].GetBool());
-    EXPECT_TRUE(read_body["kv_transfer_params"]["do_remote_decode"].GetBool());
-    EXPECT_FALSE(read_body["kv_transfer_params"].HasMember("evil"));
+    const auto prefill_body = parsed(read.body);
+    EXPECT_EQ(prefill_body["max_tokens"].GetInt(), 1);
+    EXPECT_FALSE(prefill_body["stream"].GetBool());
+    EXPECT_TRUE(prefill_body["kv_transfer_params"]["do_remote_decode"].GetBool());
+    EXPECT_FALSE(prefill_body["kv_transfer_params"].HasMember("evil"));
     EXPECT_NE(read.body.find(R"("top_k": 7.50)"), std::string::npos);  // unknown fields stay to the byte
     d.answer_read(read.call);
     ASSERT_EQ(d.sent().size(), 2U);
     const Call write = d.sent()[1];
     EXPECT_EQ(write.server[0], 'w');
-    const auto write_body = parsed(write.body);
-    EXPECT_EQ(write_body["max_tokens"].GetInt(), 20);
-    EXPECT_TRUE(write_body["stream"].GetBool());
-    EXPECT_EQ(write_body["kv_transfer_params"]["remote_engine_id"], "r");
+    const auto decode_body = parsed(write.body);
+    EXPECT_EQ(decode_body["max_tokens"].GetInt(), 20);
+    EXPECT_TRUE(decode_body["stream"].GetBool());
+    EXPECT_EQ(decode_body["kv_transfer_params"]["remote_engine_id"], "r");
     EXPECT_EQ(write.headers.get("x-request-id"), read.headers.get("x-request-id"));
     EXPECT_EQ(read.headers.get("x-request-attempt"), "0");
     EXPECT_EQ(write.headers.get("x-request-attempt"), "1");
@@ -48,7 +48,7 @@
               chunk("yes") + chunk(" now") + chat::format_event("[DONE]"));  // usage was not asked for
     ASSERT_EQ(d.requests.size(), 1U);
     EXPECT_EQ(d.requests[0].fate, observe::Termination::served);
-    EXPECT_EQ(d.requests[0].prompt_tokens_told, 40);
+    EXPECT_EQ(d.requests[0].reported_prompt_tokens, 40);
     EXPECT_TRUE(d.releases().empty());  // the writer has fetched the state
     expect_empty(d);
 }
@@ -130,7 +130,7 @@
            EndpointUpdateKind::delta);
     d.answer_read(read);
     ASSERT_EQ(d.sent().size(), 1U);
-    EXPECT_EQ(d.edge.gauges().states_held, 1U);
+    EXPECT_EQ(d.edge.gauges().kv_states_held, 1U);
     d.give({ClientClosed{{1}}});
     ASSERT_EQ(d.releases().size(), 1U);
     EXPECT_NE(d.releases()[0].body.find("remote_block_ids"), std::string::npos);
@@ -490,7 +490,7 @@
     Driver d;
     d.usual_list();
     const auto write = d.to_write();
-    d.give({DrainBegins{}});
+    d.give({DrainStarted{}});
     d.ask("m", "", {}, 2);
     ASSERT_EQ(d.replies.size(), 1U);
     EXPECT_EQ(d.replies[0].status, 503);
--- a/tests/core/platform_edge_test.cpp
+++ b/tests/core/platform_edge_test.cpp
@@ -203,7 +203,7 @@
     Platform d;
     d.get("GET /ready HTTP/1.1\r\n\r\n");
     EXPECT_EQ(d.replies.back().status, 200);
-    d.give({DrainBegins{}});
+    d.give({DrainStarted{}});
     d.get("GET /ready HTTP/1.1\r\n\r\n");
     EXPECT_EQ(d.replies.back().status, 503);
     d.get(told::post("9b1f"));
@@ -224,7 +224,7 @@
     d.get(told::post("9b21", "order"), 3);  // is with a writer
     d.answer(d.sent().back().call, 202, R"({"cached_tokens":40})");
     d.written(d.sent().back().call);
-    d.give({DrainBegins{}, DrainEnds{}});
+    d.give({DrainStarted{}, DrainExpired{}});
     EXPECT_EQ(d.streams_cut, 1);
     ASSERT_EQ(d.replies.size(), 2U);
     EXPECT_EQ(d.replies[0].client, ClientId{2});
@@ -288,7 +288,7 @@
         d.answer(d.to_write(), 200, kEvent + kDoneEvent);
     }
     EXPECT_EQ(d.streams_ended, 200);
-    EXPECT_EQ(d.edge.listed().size(), 2U);
+    EXPECT_EQ(d.edge.endpoints().size(), 2U);
     EXPECT_EQ(d.forgotten.size(), 402U);  // and the two of the usual list
     d.pass(10s);
     EXPECT_EQ(d.edge.gauges().calls, 0U);
@@ -674,7 +674,7 @@
     EXPECT_TRUE(d.outcomes().empty());  // not over: nothing is sent in its place
     d.give({CallHead{d.call, 202, {}}, CallBody{d.call, R"({"cached_tokens":4})"}, CallDone{d.call}});
     EXPECT_EQ(d.outcomes(), std::vector<AttemptOutcome>{AttemptOutcome::prefilled});
-    EXPECT_EQ(d.edge->gauges().states_held, 1U);
+    EXPECT_EQ(d.edge->gauges().kv_states_held, 1U);
 }
 
 TEST(PlatformEdge, ServersCloseBehindACallOffEndsIt) {
@@ -710,7 +710,7 @@
     d.give({ClientClosed{{1}}});
     d.give({CallHead{d.call, 202, {}}, CallDone{d.call}});
     EXPECT_EQ(d.edge->gauges().open_requests, 0U);
-    EXPECT_EQ(d.edge->gauges().states_held, 0U);
+    EXPECT_EQ(d.edge->gauges().kv_states_held, 0U);
     EXPECT_EQ(d.edge->gauges().calls, 1U);  // the release
 }
 
--- a/tests/core/prefix_test.cpp
+++ b/tests/core/prefix_test.cpp
@@ -23,7 +23,7 @@
     s.endpoint.started_at = born;
     return s;
 }
-CacheMessage holds(const std::string& server, std::uint64_t sequence, double ts, bool replayed = false) {
+CacheEventMessage holds(const std::string& server, std::uint64_t sequence, double ts, bool replayed = false) {
     return {server, sequence, prefix::encode({ts, {prefix::testing::stored(kPrompt, 5)}, 0}), replayed};
 }
 template <class T>
@@ -56,13 +56,14 @@
                          {membership::EndpointList{EndpointUpdateKind::snapshot, std::move(servers)}});
     };
     auto out = list({publishes("r1"), listed("r2", "reader"), listed("w1", "writer")});
-    ASSERT_EQ(of<CacheFollow>(out).size(), 1U);
-    EXPECT_EQ(of<CacheFollow>(out)[0].server, "r1");
-    EXPECT_TRUE(of<CacheFollow>(list({publishes("r1"), listed("w1", "writer")})).empty());
-    EXPECT_EQ(of<CacheFollow>(list({publishes("r1", 21), listed("w1", "writer")})).size(), 1U);  // moved
+    ASSERT_EQ(of<SubscribeCacheEvents>(out).size(), 1U);
+    EXPECT_EQ(of<SubscribeCacheEvents>(out)[0].server, "r1");
+    EXPECT_TRUE(of<SubscribeCacheEvents>(list({publishes("r1"), listed("w1", "writer")})).empty());
+    EXPECT_EQ(of<SubscribeCacheEvents>(list({publishes("r1", 21), listed("w1", "writer")})).size(),
+              1U);  // moved
     out = list({listed("w1", "writer")});
-    ASSERT_EQ(of<CacheLeave>(out).size(), 1U);
-    EXPECT_EQ(of<CacheLeave>(out)[0].server, "r1");
+    ASSERT_EQ(of<UnsubscribeCacheEvents>(out).size(), 1U);
+    EXPECT_EQ(of<UnsubscribeCacheEvents>(out)[0].server, "r1");
 }
 
 // A gateway that starts anew knows what the one before it knew, once the engine proves that it is the same.
@@ -78,7 +79,7 @@
         (void)before.step(Time(1001s), {holds("r1", 0, 1)});
         // Each in its turn, five seconds apart; of the one that has said nothing there is none.
         for (Time at(1002s); at < Time(1030s); at = std::max(at + 1s, *before.next_wake()))
-            for (auto& k : of<CacheKeep>(before.step(at, {}))) kept[k.server] = k.snapshot;
+            for (auto& k : of<StoreCacheSnapshot>(before.step(at, {}))) kept[k.server] = k.snapshot;
         ASSERT_EQ(kept.size(), 1U);
     }
     Edge edge(s);
@@ -87,18 +88,19 @@
     const auto out = edge.step(
         Time(2000s),
         {membership::EndpointList{EndpointUpdateKind::snapshot, {publishes("r1"), publishes("r2", 21)}}});
-    ASSERT_EQ(of<CacheReplay>(out).size(), 1U);
-    EXPECT_EQ(of<CacheReplay>(out)[0].server, "r1");
-    EXPECT_EQ(of<CacheReplay>(out)[0].from, 0U);
-    ASSERT_EQ(of<CacheDrop>(out).size(), 1U);
-    EXPECT_EQ(of<CacheDrop>(out)[0].server, "r2");
-    EXPECT_EQ(edge.gauges().prefixes.told, 0U);
+    ASSERT_EQ(of<ReplayCacheEvents>(out).size(), 1U);
+    EXPECT_EQ(of<ReplayCacheEvents>(out)[0].server, "r1");
+    EXPECT_EQ(of<ReplayCacheEvents>(out)[0].from, 0U);
+    ASSERT_EQ(of<DropCacheSnapshot>(out).size(), 1U);
+    EXPECT_EQ(of<DropCacheSnapshot>(out)[0].server, "r2");
+    EXPECT_EQ(edge.gauges().prefixes.trusted, 0U);
     EXPECT_GT(edge.gauges().prefixes.blocks, 0U);
     (void)edge.step(Time(2000s), {holds("r1", 0, 1, true), CacheReplayEnded{"r1"}});
-    EXPECT_EQ(edge.gauges().prefixes.told, 1U);
+    EXPECT_EQ(edge.gauges().prefixes.trusted, 1U);
     // Off the list: what is stored of it goes too.
-    EXPECT_EQ(of<CacheDrop>(edge.step(Time(2001s), {membership::EndpointList{EndpointUpdateKind::snapshot,
-                                                                             {publishes("r2", 21)}}}))
+    EXPECT_EQ(of<DropCacheSnapshot>(
+                  edge.step(Time(2001s),
+                            {membership::EndpointList{EndpointUpdateKind::snapshot, {publishes("r2", 21)}}}))
                   .size(),
               1U);
 }
@@ -111,14 +113,14 @@
     (void)before.step(Time(1000s),
                       {membership::EndpointList{EndpointUpdateKind::snapshot, {publishes("r1")}}});
     (void)before.step(Time(1001s), {holds("r1", 0, 1)});
-    const auto keep = of<CacheKeep>(before.step(*before.next_wake(), {}));
+    const auto keep = of<StoreCacheSnapshot>(before.step(*before.next_wake(), {}));
     ASSERT_EQ(keep.size(), 1U);
     (void)edge.step(Time(1000s), {CacheSnapshots{{{"r1", keep[0].snapshot}}}});
     (void)edge.step(Time(1000s), {membership::EndpointList{EndpointUpdateKind::snapshot, {publishes("r1")}}});
     EXPECT_GT(edge.gauges().prefixes.blocks, 0U);
     (void)edge.step(Time(1000s) + s.cache_events.replay_timeout, {});
     EXPECT_EQ(edge.gauges().prefixes.blocks, 0U);
-    EXPECT_EQ(edge.gauges().prefixes.told, 0U);
+    EXPECT_EQ(edge.gauges().prefixes.trusted, 0U);
 }
 
 TEST(Prefix, ReadGoesWhereTheTextIsHeld) {
@@ -127,11 +129,11 @@
         d.list({publishes("r1"), publishes("r2"), listed("w1", "writer")});
         const prefix::Batch none{1, {}, 0};
         for (const std::string& other : {std::string("r1"), std::string("r2")})
-            if (other != holder) d.give({CacheMessage{other, 0, prefix::encode(none), false}});
+            if (other != holder) d.give({CacheEventMessage{other, 0, prefix::encode(none), false}});
         d.give({holds(holder, 0, 1)});
-        EXPECT_EQ(d.edge.gauges().prefixes.told, 2U);
+        EXPECT_EQ(d.edge.gauges().prefixes.trusted, 2U);
         for (std::uint64_t i = 1; i <= 4; ++i) EXPECT_EQ(read_at(d, i, 12), holder);
-        EXPECT_EQ(d.edge.gauges().prefixes.told, 2U);
+        EXPECT_EQ(d.edge.gauges().prefixes.trusted, 2U);
         expect_empty(d);
     }
 }
@@ -151,8 +153,8 @@
     e.block_size = 2;
     e.blocks = {71, 72, 73};
     e.tokens = {1, 2, 3, 4, 5, 6};
-    d.give({CacheMessage{"r1", 0, prefix::encode({1, {}, 0}), false},
-            CacheMessage{"r2", 0, prefix::encode({1, {e}, 0}), false}});
+    d.give({CacheEventMessage{"r1", 0, prefix::encode({1, {}, 0}), false},
+            CacheEventMessage{"r2", 0, prefix::encode({1, {e}, 0}), false}});
     EXPECT_EQ(d.edge.gauges().prefixes.blocks, 3U);
     for (std::uint64_t i = 1; i <= 4; ++i) EXPECT_EQ(read_at(d, i, 6), "r2");
     expect_empty(d);
@@ -162,11 +164,11 @@
     Driver d(with_events());
     d.list({publishes("r1"), listed("w1", "writer")});
     d.give({holds("r1", 0, 1)});
-    ASSERT_EQ(d.edge.gauges().prefixes.told, 1U);
+    ASSERT_EQ(d.edge.gauges().prefixes.trusted, 1U);
     for (std::uint64_t i = 1; i <= 8; ++i) read_at(d, i, 0);  // nothing was kept, whatever it says
-    EXPECT_EQ(d.edge.gauges().prefixes.told, 0U);
+    EXPECT_EQ(d.edge.gauges().prefixes.trusted, 0U);
     for (std::uint64_t i = 11; i <= 18; ++i) read_at(d, i, 12);
-    EXPECT_EQ(d.edge.gauges().prefixes.told, 1U);
+    EXPECT_EQ(d.edge.gauges().prefixes.trusted, 1U);
 }
 
 TEST(Prefix, GapsAreAskedForAndNotWaitedForForEver) {
@@ -175,7 +177,7 @@
     (void)edge.step(now, {membership::EndpointList{EndpointUpdateKind::snapshot,
                                                    {publishes("r1"), listed("w1", "writer")}}});
     (void)edge.step(now, {holds("r1", 0, 1)});
-    const auto asked = of<CacheReplay>(edge.step(now, {holds("r1", 3, 4)}));
+    const auto asked = of<ReplayCacheEvents>(edge.step(now, {holds("r1", 3, 4)}));
     ASSERT_EQ(asked.size(), 1U);
     EXPECT_EQ(asked[0].from, 1U);
     ASSERT_EQ(edge.next_wake(), now + 500ms);
@@ -183,7 +185,7 @@
     EXPECT_EQ(edge.gauges().prefixes.unfilled, 1U);
     // The rest of that replay comes too late, and changes nothing.
     (void)edge.step(now + 600ms, {holds("r1", 1, 2, true), CacheReplayEnded{"r1"}});
-    EXPECT_TRUE(of<CacheReplay>(edge.step(now + 600ms, {holds("r1", 4, 5)})).empty());
+    EXPECT_TRUE(of<ReplayCacheEvents>(edge.step(now + 600ms, {holds("r1", 4, 5)})).empty());
     EXPECT_EQ(edge.gauges().prefixes.gaps, 1U);
 }
 
@@ -195,13 +197,13 @@
     EXPECT_GT(d.edge.gauges().prefixes.blocks, 0U);
     d.list({publishes("r1", 11, d.now), publishes("r2"), listed("w1", "writer")});
     EXPECT_EQ(d.edge.gauges().prefixes.blocks, 0U);
-    EXPECT_EQ(d.edge.gauges().prefixes.told, 0U);
+    EXPECT_EQ(d.edge.gauges().prefixes.trusted, 0U);
 }
 
 TEST(Prefix, WordsOfStrangersAndGarbageCostNothing) {
     Driver d(with_events());
     d.list({publishes("r1"), listed("w1", "writer")});
-    d.give({holds("nobody", 0, 1), CacheMessage{"r1", 0, "\xc1", false}, CacheReplayEnded{"r1"},
+    d.give({holds("nobody", 0, 1), CacheEventMessage{"r1", 0, "\xc1", false}, CacheReplayEnded{"r1"},
             CacheReplayEnded{"nobody"}});
     EXPECT_EQ(d.edge.gauges().prefixes.bad_messages, 1U);
     EXPECT_EQ(read_at(d, 1), "r1");
--- a/tests/core/verification_test.cpp
+++ b/tests/core/verification_test.cpp
@@ -20,8 +20,8 @@
 }
 config::EdgeSettings pauses() {
     auto s = settings();
-    s.limits.unverified_pause = 1s;
-    s.limits.unverified_longest = 4s;
+    s.limits.unverified_backoff = 1s;
+    s.limits.unverified_backoff_max = 4s;
     return s;
 }
 
@@ -40,10 +40,10 @@
     }
     v.changed("w", now);
     EXPECT_EQ(v.due(now), std::vector<std::string>{"w"});
-    v.untold("w", now);  // no connection: the same pause again, not a longer one
+    v.inconclusive("w", now);  // no connection: the same pause again, not a longer one
     EXPECT_EQ(v.next(), now + 1s);
-    EXPECT_TRUE(v.proved("w"));
-    EXPECT_FALSE(v.out("w"));
+    EXPECT_TRUE(v.verified("w"));
+    EXPECT_FALSE(v.unverified("w"));
     EXPECT_EQ(v.next(), std::nullopt);
 }
 
--- a/tests/engine/engine_test.cpp
+++ b/tests/engine/engine_test.cpp
@@ -17,7 +17,7 @@
             for (const bool started : {false, true})
                 for (const bool whole : {false, true})
                     for (const int status : {0, 200, 204, 301, 400, 404, 408, 422, 429, 500, 503}) {
-                        Facts f{ending, true, read, started, whole, status, NotRun::not_said, false};
+                        Facts f{ending, true, read, started, whole, status, NotRun::unknown, false};
                         EXPECT_FALSE(proves_not_run(judge(f).outcome))
                             << static_cast<int>(ending) << ' ' << status;
                     }
@@ -34,7 +34,7 @@
 
 TEST(AttemptOutcome, Table) {
     const auto of = [](Ending ending, bool read, bool started, bool whole, int status,
-                       NotRun word = NotRun::not_said, bool by_settings = false) {
+                       NotRun word = NotRun::unknown, bool by_settings = false) {
         return judge({ending, true, read, started, whole, status, word, by_settings});
     };
     EXPECT_EQ(of(Ending::answered, true, false, true, 200).outcome, AttemptOutcome::prefilled);
@@ -47,11 +47,11 @@
     EXPECT_EQ(of(Ending::answered, false, false, false, 503, NotRun::full).outcome,
               AttemptOutcome::at_capacity);
     EXPECT_TRUE(of(Ending::answered, false, false, false, 503, NotRun::no_state).kv_state_missing);
-    EXPECT_EQ(of(Ending::answered, false, false, false, 429, NotRun::not_said, true).outcome,
+    EXPECT_EQ(of(Ending::answered, false, false, false, 429, NotRun::unknown, true).outcome,
               AttemptOutcome::at_capacity);
-    EXPECT_TRUE(of(Ending::answered, false, false, false, 422).clients_fault);
-    EXPECT_FALSE(of(Ending::answered, false, false, false, 429).clients_fault);
-    EXPECT_FALSE(of(Ending::answered, false, false, false, 401).clients_fault);
+    EXPECT_TRUE(of(Ending::answered, false, false, false, 422).client_error);
+    EXPECT_FALSE(of(Ending::answered, false, false, false, 429).client_error);
+    EXPECT_FALSE(of(Ending::answered, false, false, false, 401).client_error);
     // The word counts only in a whole answer with an error status: not where a stream had begun.
     EXPECT_EQ(of(Ending::closed, false, false, false, 503, NotRun::full).outcome, AttemptOutcome::reset);
 }
@@ -90,26 +90,26 @@
 }
 
 TEST(Protocol, ReadAnswers) {
-    const auto a = parse_read_answer(
+    const auto a = parse_prefill_answer(
         R"({"usage":{"prompt_tokens":9,"prompt_tokens_details":{"cached_tokens":4}},"kv_transfer_params":{"remote_block_ids":[1],"x":null}})");
     ASSERT_TRUE(a);
     EXPECT_EQ(a->prompt_tokens, 9);
     EXPECT_EQ(a->cached_tokens, 4);
-    const auto untold = parse_read_answer(R"({"usage":{"prompt_tokens":9},"kv_transfer_params":{}})");
+    const auto untold = parse_prefill_answer(R"({"usage":{"prompt_tokens":9},"kv_transfer_params":{}})");
     ASSERT_TRUE(untold);
     EXPECT_FALSE(untold->cached_tokens);
     EXPECT_EQ(a->kv_params, R"({"remote_block_ids":[1],"x":null})");
     for (const char* bad : {"", "{}", "[]", R"({"kv_transfer_params":null})", R"({"kv_transfer_params":[]})"})
-        EXPECT_FALSE(parse_read_answer(bad)) << bad;
+        EXPECT_FALSE(parse_prefill_answer(bad)) << bad;
 }
 
 TEST(Protocol, ReadBodyAsksForOneToken) {
     const std::string body =
         R"({"model":"m","messages":[{"role":"user","content":"x"}],"max_completion_tokens":50,"min_tokens":5,"n":2,"seed":1})";
-    EXPECT_EQ(read_body(body, *chat::parse_request(body)).find("min_tokens"), std::string::npos);
-    EXPECT_NE(read_body(body, *chat::parse_request(body)).find(R"("max_completion_tokens":1)"),
+    EXPECT_EQ(prefill_body(body, *chat::parse_request(body)).find("min_tokens"), std::string::npos);
+    EXPECT_NE(prefill_body(body, *chat::parse_request(body)).find(R"("max_completion_tokens":1)"),
               std::string::npos);
-    EXPECT_NE(write_body(body, *chat::parse_request(body), "").find(R"("n":2)"), std::string::npos);
+    EXPECT_NE(decode_body(body, *chat::parse_request(body), "").find(R"("n":2)"), std::string::npos);
 }
 
 }  // namespace
--- a/tests/fuzz/codecs_fuzz.cpp
+++ b/tests/fuzz/codecs_fuzz.cpp
@@ -85,10 +85,10 @@
         return;
     }
     // What is made of a good request is one too, and says the same.
-    const auto write = engine::write_body(bytes, *parsed, "{}");
+    const auto write = engine::decode_body(bytes, *parsed, "{}");
     const auto again = chat::parse_request(write);
     must(again && again->stream && again->model == parsed->model && again->prefix == parsed->prefix);
-    const auto read = chat::parse_request(engine::read_body(bytes, *parsed));
+    const auto read = chat::parse_request(engine::prefill_body(bytes, *parsed));
     must(read && !read->stream && read->max_output == 1);
 }
 
@@ -105,7 +105,7 @@
         case 4: events(bytes); break;
         case 5: chat_request(bytes); break;
         case 6:
-            (void)engine::parse_read_answer(bytes);
+            (void)engine::parse_prefill_answer(bytes);
             (void)engine::parse_load_header(bytes).report();
             (void)engine::parse_metrics_page(bytes).report();
             (void)engine::prompt_text(bytes, {"<s>", "{role}:{content};"});
--- a/tests/fuzz/edge_fuzz.cpp
+++ b/tests/fuzz/edge_fuzz.cpp
@@ -56,8 +56,8 @@
             give(std::move(failures));
         }
         const auto g = edge_.gauges();
-        must(g.open_requests == 0 && g.started_streams == 0 && g.states_held == 0 &&
-             g.tracked_by_module == 0 && g.calls == calls_.size());  // a probe may be out
+        must(g.open_requests == 0 && g.started_streams == 0 && g.kv_states_held == 0 &&
+             g.tracked_by_router == 0 && g.calls == calls_.size());  // a probe may be out
     }
 
 private:
--- a/tests/fuzz/platform_fuzz.cpp
+++ b/tests/fuzz/platform_fuzz.cpp
@@ -8,7 +8,7 @@
 #include "http/message.hpp"
 #include "platform/answer.hpp"
 #include "platform/configuration.hpp"
-#include "platform/list.hpp"
+#include "platform/endpoint_list.hpp"
 #include "platform/request.hpp"
 
 using namespace chalksail;
@@ -28,7 +28,7 @@
     in_parts(text, step, [&](auto part) {
         for (const auto& line : reader.feed(part)) {
             out += line + "\n";
-            if (const auto list = parse_list(line))
+            if (const auto list = parse_endpoint_list(line))
                 for (const auto& i : list->instances)
                     if (i.id.empty()) std::abort();
         }
--- a/tests/lab/compare_test.cpp
+++ b/tests/lab/compare_test.cpp
@@ -82,7 +82,7 @@
     EXPECT_GT(f.cache_lost, 100U);
     EXPECT_GT(f.prefixes.gaps, 50U);
     EXPECT_EQ(f.prefixes.unfilled, 0U);
-    EXPECT_EQ(f.prefixes.told, 3U * 12U);
+    EXPECT_EQ(f.prefixes.trusted, 3U * 12U);
 }
 
 TEST(CacheEvents, GapsThatNobodyFillsCostSpeedOnly) {
--- a/tests/membership/watch_schedule_test.cpp
+++ b/tests/membership/watch_schedule_test.cpp
@@ -33,7 +33,7 @@
     // A watch that is open and has told its list; its last word is just said, and it falls silent.
     Watch() {
         schedule.opened(now);
-        schedule.heard(now, false, true);
+        schedule.received(now, false, true);
     }
     // Until the next call is started.
     void wait() {
@@ -51,20 +51,20 @@
             case Broken::refused: return schedule.ended(now);
             case Broken::dial: now += limits.dial_timeout + kLook; return schedule.ended(now);
             case Broken::before_head: return;
-            case Broken::after_head: now += kHeadAfter; return schedule.heard(now, false, false);
-            case Broken::inside_object: now += kHeadAfter; return schedule.heard(now, true, false);
+            case Broken::after_head: now += kHeadAfter; return schedule.received(now, false, false);
+            case Broken::inside_object: now += kHeadAfter; return schedule.received(now, true, false);
             case Broken::dribbling:
                 while (!schedule.silent(now)) {
-                    schedule.heard(now, true, false);
+                    schedule.received(now, true, false);
                     now += kLook;
                     ASSERT_LT(now - opened, 10s);
                 }
                 return schedule.ended(now);
             case Broken::ended:
                 now += kHeadAfter;
-                schedule.heard(now, false, false);
+                schedule.received(now, false, false);
                 return schedule.ended(now);
-            case Broken::reset_after_object: schedule.heard(now, false, true); return schedule.ended(now);
+            case Broken::reset_after_object: schedule.received(now, false, true); return schedule.ended(now);
         }
     }
     WatchLimits limits;
@@ -122,7 +122,7 @@
     for (int i = 0; i < 100; ++i) {
         w.now += 2s + 100ms;
         EXPECT_FALSE(w.schedule.silent(w.now));
-        w.schedule.heard(w.now, false, false);
+        w.schedule.received(w.now, false, false);
     }
 }
 
@@ -134,7 +134,7 @@
         w.break_call(Broken::refused);
     }
     w.wait();
-    w.schedule.heard(w.now, false, true);
+    w.schedule.received(w.now, false, true);
     const Time broke = w.now;
     w.schedule.ended(w.now);
     w.wait();
@@ -145,7 +145,7 @@
     Watch w;
     w.wait();
     w.break_call(Broken::refused);
-    w.schedule.moved(w.now);
+    w.schedule.target_changed(w.now);
     EXPECT_TRUE(w.schedule.due(w.now));
 }
 
--- a/tests/net/crossing_test.cpp
+++ b/tests/net/crossing_test.cpp
@@ -68,7 +68,8 @@
     gone.send(told::post("a1"));
     ASSERT_TRUE(until([&] { return reader->requests == 2; }));  // its answer is on the way
     leave(gone, GetParam());
-    ASSERT_TRUE(until([&] { return edge->gauges().open_requests == 0 && edge->gauges().states_held == 0; }));
+    ASSERT_TRUE(
+        until([&] { return edge->gauges().open_requests == 0 && edge->gauges().kv_states_held == 0; }));
     ASSERT_TRUE(served("a2"));
     EXPECT_EQ(writer->requests, 2);
 }
--- a/tests/net/platform_rig.hpp
+++ b/tests/net/platform_rig.hpp
@@ -39,7 +39,7 @@
         });
         open(std::nullopt, change);
     }
-    void open(std::optional<platform::ListUpdate> known,
+    void open(std::optional<platform::EndpointListUpdate> known,
               const std::function<void(config::EdgeSettings&)>& change) {
         const auto told =
             platform::parse_configuration(told::configuration_text(format_address(discovery->address)), {});
--- a/tests/net/platform_socket_test.cpp
+++ b/tests/net/platform_socket_test.cpp
@@ -252,7 +252,7 @@
     quiet = true;
     begin([](auto& p) { p.send(kStream); });
     edge.reset();
-    open(platform::parse_list(whole(7)).value(), [](auto&) {});
+    open(platform::parse_endpoint_list(whole(7)).value(), [](auto&) {});
     EXPECT_TRUE(served("a1"));
     EXPECT_NE(discovery->last.find("since=0"), std::string::npos);
 }
--- a/tests/net/tls_socket_test.cpp
+++ b/tests/net/tls_socket_test.cpp
@@ -14,7 +14,7 @@
     TlsEngine(uv_loop_t& loop, std::shared_ptr<tls::Context> context)
         : server(loop, static_cast<HttpServer::Handler&>(*this), {}) {
         server.set_tls(std::move(context));
-        address = server.listen({"127.0.0.1", 0}, HttpServer::Speaks::tls);
+        address = server.listen({"127.0.0.1", 0}, HttpServer::ProtocolKind::tls);
     }
     HttpServer server;
     Address address;
@@ -268,8 +268,8 @@
     TlsEngine& wrong = engine("decode-8.lekki.example.org");
     TlsEngine& read = engine("prefill-1.lekki.example.org");
     auto s = settings(read, wrong);
-    s.limits.unverified_pause = 10ms;
-    s.limits.unverified_longest = 20ms;
+    s.limits.unverified_backoff = 10ms;
+    s.limits.unverified_backoff_max = 20ms;
     log = std::make_unique<observe::Log>("t", "error");
     edge = std::make_unique<EdgeServer>(loop, s, *log);
     RawClient& c = client();
@@ -312,7 +312,7 @@
 
 // ---- the listener ----
 
-// Speaks to the edge through the pool, as any client with TLS.
+// ProtocolKind to the edge through the pool, as any client with TLS.
 struct PoolClient : UpstreamPool::Handler {
     std::string got;
     int status = 0;
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -49,10 +49,10 @@
 // ---- the list ----
 
 TEST(PlatformList, IsTakenWholeOrNotAtAll) {
-    const auto good = parse_list(list_text(instance("a", "reader", "10.0.0.1:80") + "," +
-                                               instance("b", "writer", "10.0.0.2:80", "draining") + "," +
-                                               instance("c", "writer", "", "removed"),
-                                           43, false));
+    const auto good = parse_endpoint_list(list_text(instance("a", "reader", "10.0.0.1:80") + "," +
+                                                        instance("b", "writer", "10.0.0.2:80", "draining") +
+                                                        "," + instance("c", "writer", "", "removed"),
+                                                    43, false));
     ASSERT_TRUE(good) << good.error();
     EXPECT_EQ(good->generation, 43);
     EXPECT_FALSE(good->whole);
@@ -63,7 +63,7 @@
           list_text(instance("a", "r", "10.0.0.1:80") + "," + instance("a", "r", "10.0.0.2:80")),
           list_text(instance("a", "r", "10.0.0.1:80", "asleep")), list_text(instance("a", "r", "host:80")),
           list_text(instance("", "r", "10.0.0.1:80")), list_text("3")})
-        EXPECT_FALSE(parse_list(bad)) << bad;
+        EXPECT_FALSE(parse_endpoint_list(bad)) << bad;
 }
 
 TEST(PlatformList, LinesAreCutAlikeHoweverTheyCome) {
@@ -145,7 +145,7 @@
         change(f);
         return f;
     };
-    EXPECT_EQ(of(with([](auto& f) { f.status = 200, f.started = f.whole = true; })), AttemptOutcome::ok);
+    EXPECT_EQ(of(with([](auto& f) { f.status = 200, f.started = f.complete = true; })), AttemptOutcome::ok);
     EXPECT_EQ(of(with([](auto& f) { f.status = 200, f.started = true; })),
               AttemptOutcome::reset);  // no [DONE]
     EXPECT_EQ(of(with([](auto& f) { f.status = 500; })), AttemptOutcome::error);
@@ -154,11 +154,12 @@
     EXPECT_EQ(of(with([](auto& f) { f.status = 504, f.not_run = true; })), AttemptOutcome::at_capacity);
     EXPECT_EQ(of(with([](auto& f) { f.status = 500, f.not_run = true; })), AttemptOutcome::error);
     EXPECT_TRUE(judge(with([](auto& f) { f.status = 410, f.not_run = true; })).kv_state_missing);
-    EXPECT_EQ(of(with([](auto& f) { f.status = 202, f.read = f.whole = true; })), AttemptOutcome::prefilled);
-    EXPECT_EQ(of(with([](auto& f) { f.status = 202, f.whole = true; })),
+    EXPECT_EQ(of(with([](auto& f) { f.status = 202, f.prefill = f.complete = true; })),
+              AttemptOutcome::prefilled);
+    EXPECT_EQ(of(with([](auto& f) { f.status = 202, f.complete = true; })),
               AttemptOutcome::error);  // not at a reader
     // The request's last byte is the line.
-    for (const auto ended : {Ended::no_connection, Ended::broke, Ended::timed_out, Ended::called_off}) {
+    for (const auto ended : {Ended::no_connection, Ended::broke, Ended::timed_out, Ended::cancelled}) {
         Facts f;
         f.ended = ended;
         EXPECT_EQ(of(f), AttemptOutcome::connect_failed);
@@ -167,8 +168,8 @@
     }
     EXPECT_EQ(of(with([](auto& f) { f.ended = Ended::broke; })), AttemptOutcome::reset);
     EXPECT_EQ(of(with([](auto& f) { f.ended = Ended::timed_out; })), AttemptOutcome::timeout);
-    EXPECT_EQ(of(with([](auto& f) { f.ended = Ended::spoilt; })), AttemptOutcome::error);
-    EXPECT_EQ(of(with([](auto& f) { f.ended = Ended::spoilt, f.started = true; })), AttemptOutcome::reset);
+    EXPECT_EQ(of(with([](auto& f) { f.ended = Ended::malformed; })), AttemptOutcome::error);
+    EXPECT_EQ(of(with([](auto& f) { f.ended = Ended::malformed, f.started = true; })), AttemptOutcome::reset);
 }
 
 TEST(PlatformAnswer, EventsPassUnchangedHoweverTheyCome) {
