--- a/tests/policy/counted_fleet_test.cpp
+++ b/tests/policy/counted_fleet_test.cpp
@@ -3,7 +3,7 @@
 #include <set>
 
 #include "fixture.hpp"
-#include "policy/state.hpp"
+#include "policy/statistics.hpp"
 
 namespace chalksail::testing {
 namespace {
@@ -81,7 +81,8 @@
     std::vector<Endpoint> readers;
     for (int i = 0; i < 20; ++i) readers.push_back(server("r" + std::to_string(i), "reader"));
     std::sort(readers.begin(), readers.end(), [&](const auto& a, const auto& b) {
-        return unit(prefix, a.id.value) > unit(prefix, b.id.value);
+        return policy::hash_to_unit_interval(prefix, a.id.value) >
+               policy::hash_to_unit_interval(prefix, b.id.value);
     });
     auto listed = readers;
     listed.push_back(server("w", "writer"));
