--- a/apps/edge/main.cpp
+++ b/apps/edge/main.cpp
@@ -152,7 +152,7 @@
 
 // Serves until a signal ends it. `list` and `reload` may need the loop, and come of it.
 struct Origin {
-    std::unique_ptr<chalksail::membership::ListSource> list;
+    std::unique_ptr<chalksail::membership::EndpointSource> list;
     Signals::Reload reload;
 };
 // Guards against a gateway that does not come up as its machine is short of descriptors at that moment. An
--- a/src/membership/verification.cpp
+++ b/src/membership/verification.cpp
@@ -5,51 +5,58 @@
 namespace chalksail::membership {
 
 bool Verification::failed(const std::string& server, Time now) {
-    const auto [it, fresh] = out_.try_emplace(server);
-    Out& o = it->second;
-    // Attempts that were on their way when the first one failed tell nothing new.
-    if (!fresh && !o.asked) return false;
-    o.pause = fresh || o.pause == Duration::zero()
-                  ? backoff_.first
-                  : std::min(backoff_.max, std::chrono::duration_cast<Duration>(o.pause * backoff_.growth));
-    o.at = now + o.pause;
-    o.asked = false;
-    return fresh;
+    const auto [it, newly_excluded] = excluded_.try_emplace(server);
+    Exclusion& exclusion = it->second;
+    // Attempts that were already under way when the first one failed prove nothing new.
+    if (!newly_excluded && !exclusion.trial_in_progress) return false;
+    if (newly_excluded || exclusion.backoff == Duration::zero()) {
+        exclusion.backoff = backoff_.first;
+    } else {
+        const auto grown = std::chrono::duration_cast<Duration>(exclusion.backoff * backoff_.growth);
+        exclusion.backoff = std::min(backoff_.max, grown);
+    }
+    exclusion.next_trial = now + exclusion.backoff;
+    exclusion.trial_in_progress = false;
+    return newly_excluded;
 }
 
 void Verification::inconclusive(const std::string& server, Time now) {
-    const auto it = out_.find(server);
-    if (it == out_.end()) return;
-    it->second.pause = std::max(it->second.pause, backoff_.first);
-    it->second.at = now + it->second.pause;
-    it->second.asked = false;
+    const auto it = excluded_.find(server);
+    if (it == excluded_.end()) return;
+    Exclusion& exclusion = it->second;
+    exclusion.backoff = std::max(exclusion.backoff, backoff_.first);
+    exclusion.next_trial = now + exclusion.backoff;
+    exclusion.trial_in_progress = false;
 }
 
-bool Verification::verified(const std::string& server) { return out_.erase(server) != 0; }
+bool Verification::verified(const std::string& server) { return excluded_.erase(server) != 0; }
 
 void Verification::changed(const std::string& server, Time now) {
-    if (const auto it = out_.find(server); it != out_.end()) it->second = {Duration::zero(), now, false};
+    if (const auto it = excluded_.find(server); it != excluded_.end())
+        it->second = {Duration::zero(), now, false};
 }
 
 void Verification::trust_changed(Time now) {
-    for (auto& [server, o] : out_) o = {Duration::zero(), now, false};
+    for (auto& [server, exclusion] : excluded_) exclusion = {Duration::zero(), now, false};
 }
 
 std::vector<std::string> Verification::due(Time now) {
-    std::vector<std::string> all;
-    for (auto& [server, o] : out_)
-        if (!o.asked && o.at <= now) {
-            o.asked = true;
-            all.push_back(server);
-        }
-    return all;
+    std::vector<std::string> servers;
+    for (auto& [server, exclusion] : excluded_) {
+        if (exclusion.trial_in_progress || exclusion.next_trial > now) continue;
+        exclusion.trial_in_progress = true;
+        servers.push_back(server);
+    }
+    return servers;
 }
 
 std::optional<Time> Verification::next() const {
-    std::optional<Time> first;
-    for (const auto& [server, o] : out_)
-        if (!o.asked) first = first ? std::min(*first, o.at) : o.at;
-    return first;
+    std::optional<Time> earliest;
+    for (const auto& [server, exclusion] : excluded_) {
+        if (exclusion.trial_in_progress) continue;
+        earliest = earliest ? std::min(*earliest, exclusion.next_trial) : exclusion.next_trial;
+    }
+    return earliest;
 }
 
 }  // namespace chalksail::membership
--- a/src/membership/verification.hpp
+++ b/src/membership/verification.hpp
@@ -1,8 +1,5 @@
-// Which servers are kept out because they did not prove their name. One that fails is out until it proves it:
-// asked again by a handshake alone, with no request, after pauses that grow; at once when its list entry or
-// what this gateway trusts has changed. There is no way back but a handshake that verifies.
-//
-// Free of I/O and clock. Not thread-safe.
+// TLS verification state of the servers. A server whose certificate did not verify is excluded until a
+// handshake verifies again; such handshakes are made alone, without a request, with exponential backoff.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -15,6 +12,8 @@
 
 namespace chalksail::membership {
 
+// The servers that are excluded because they failed verification, and when to try each again. Only a
+// verified handshake brings a server back. Not thread-safe.
 class Verification {
 public:
     struct Backoff {
@@ -24,32 +23,37 @@
     };
     explicit Verification(Backoff backoff) : backoff_(backoff) {}
 
-    // It did not prove its name. Returns true if it was not out before.
+    // A handshake with `server` did not verify. Returns true if it was not excluded before.
     bool failed(const std::string& server, Time now);
-    // A trial ended without telling anything (no connection, say): another after the same pause.
+    // A trial handshake proved nothing (no connection, for instance): the next follows after the same
+    // backoff.
     void inconclusive(const std::string& server, Time now);
-    // It has proved it. Returns true if it was out before.
+    // A handshake verified. Returns true if the server was excluded before.
     bool verified(const std::string& server);
-    // Its list entry is another now: a trial at once, and short pauses again.
+    // The server's list entry changed: its next trial is due at once, and the backoff starts anew.
     void changed(const std::string& server, Time now);
-    // What is trusted has changed: the same for all.
+    // The trust store changed: as `changed`, for all excluded servers.
     void trust_changed(Time now);
-    void forget(const std::string& server) { out_.erase(server); }
-
-    [[nodiscard]] bool unverified(const std::string& server) const { return out_.contains(server); }
-    [[nodiscard]] std::size_t count() const { return out_.size(); }
-    // Those whose trial is due; each counts as asked, until it is told how that ended.
+    // The server was removed from the list.
+    void forget(const std::string& server) { excluded_.erase(server); }
+
+    [[nodiscard]] bool unverified(const std::string& server) const { return excluded_.contains(server); }
+    // Number of excluded servers.
+    [[nodiscard]] std::size_t count() const { return excluded_.size(); }
+    // Servers whose trial handshake is due. Each counts as in progress until its end is reported by `failed`,
+    // `inconclusive` or `verified`.
     [[nodiscard]] std::vector<std::string> due(Time now);
+    // Time of the earliest trial that is not in progress; none if there is none.
     [[nodiscard]] std::optional<Time> next() const;
 
 private:
-    struct Out {
-        Duration pause{};
-        Time at{};           // of the next trial
-        bool asked = false;  // one is under way
+    struct Exclusion {
+        Duration backoff{};
+        Time next_trial{};
+        bool trial_in_progress = false;
     };
     Backoff backoff_;
-    std::map<std::string, Out> out_;
+    std::map<std::string, Exclusion> excluded_;
 };
 
 }  // namespace chalksail::membership
--- a/src/membership/wall_clock.hpp
+++ b/src/membership/wall_clock.hpp
@@ -1,8 +1,9 @@
-// Times that others tell by the wall clock, in the monotonic one that the module goes by, while the wall
-// clock is stepped forward and back. No clock of its own, no I/O.
+// Conversion of wall-clock timestamps to the monotonic clock, while the wall clock is stepped forward and
+// back. Reads no clock itself.
 //
-// Every machine reads one wall clock: a time told is what it showed at that moment, so the offset that held
-// then counts. What was told of a server first stays: told again behind a step, it is the same start.
+// All machines follow one wall clock, so a timestamp is converted by the offset that held when the wall
+// clock showed it. A server's start time is converted once: the same timestamp reported again after a step
+// is the same start.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -13,52 +14,56 @@
 
 namespace chalksail::membership {
 
+// Remembers the offsets between the two clocks and when each began to hold. Not thread-safe.
 class WallClock {
 public:
-    // `wall`: since the epoch, read at the monotonic time `now`.
+    // `wall`: time since the Unix epoch, read at the monotonic time `now`.
     WallClock(Time now, Duration wall);
 
-    // To be called now and then, and before times that were just told are asked for. Takes a change of the
-    // offset of kLeastStep and more for a step.
+    // Records a reading of both clocks. Call it periodically, and before converting timestamps that were just
+    // received. A change of the offset by kStepThreshold or more counts as a step.
     void observe(Time now, Duration wall);
-    // When the wall clock showed that. Where it has shown it twice, the later one.
+    // The monotonic time at which the wall clock showed `wall`; the later one if it showed it twice.
     [[nodiscard]] Time to_monotonic(Duration wall) const;
 
-    // Reading two clocks takes a moment, and a process may be held up in between.
-    static constexpr Duration kLeastStep = std::chrono::milliseconds(500);
-    static constexpr std::size_t kStepsRemembered = 16;
+    // Two clocks are not read at the same instant, and the process may be suspended in between.
+    static constexpr Duration kStepThreshold = std::chrono::milliseconds(500);
+    // Bounds the memory used; older steps are forgotten.
+    static constexpr std::size_t kMaxSpans = 16;
 
 private:
+    // A period in which the offset between the clocks was constant.
     struct Span {
-        Time from{};
-        Duration offset{};  // monotonic less wall
+        Time begin{};
+        Duration offset{};  // monotonic minus wall
     };
-    std::deque<Span> spans_;  // in order; the first goes back without end
-    Time latest_{};
+    std::deque<Span> spans_;  // in order of time; the first extends back without limit
+    Time last_observed_{};
 };
 
-// When servers started, by the monotonic clock. Zero stands for "long ago".
+// The start times of servers, by the monotonic clock. Not thread-safe.
 class StartTimes {
 public:
-    // `started_ms`: by the wall clock, since the epoch; 0: long ago.
+    // `started_ms`: milliseconds since the Unix epoch, by the wall clock. 0 stands for "long ago" and gives
+    // Time{}.
     [[nodiscard]] Time of(const std::string& server, std::int64_t started_ms, const WallClock& clock);
-    void forget(const std::string& server) { known_.erase(server); }
-    // `listed`: entries of a whole list, with an `id` each.
+    void forget(const std::string& server) { starts_.erase(server); }
+    // `listed`: the entries of a complete list, each with an `id`.
     template <class Entries>
     void forget_all_but(const Entries& listed) {
-        std::map<std::string, Start> kept;
+        std::map<std::string, Start> retained;
         for (const auto& entry : listed)
-            if (auto known = known_.extract(entry.id)) kept.insert(std::move(known));
-        known_.swap(kept);
+            if (auto start = starts_.extract(entry.id)) retained.insert(std::move(start));
+        starts_.swap(retained);
     }
-    [[nodiscard]] std::size_t size() const { return known_.size(); }
+    [[nodiscard]] std::size_t size() const { return starts_.size(); }
 
 private:
     struct Start {
-        std::int64_t told_ms = 0;
+        std::int64_t reported_ms = 0;
         Time at{};
     };
-    std::map<std::string, Start> known_;
+    std::map<std::string, Start> starts_;
 };
 
 }  // namespace chalksail::membership
--- a/src/membership/watch_schedule.cpp
+++ b/src/membership/watch_schedule.cpp
@@ -6,37 +6,38 @@
 
 void WatchSchedule::opened(Time now) {
     open_ = true;
-    first_object_here_ = false;
-    midway_ = false;
+    first_object_received_ = false;
+    inside_object_ = false;
     opened_at_ = now;
-    heard_at_ = now;
+    last_received_ = now;
 }
 
-void WatchSchedule::received(Time now, bool midway, bool whole) {
-    heard_at_ = now;
-    midway_ = midway;
-    if (!whole) return;
-    first_object_here_ = true;
-    pause_ = {};
+void WatchSchedule::received(Time now, bool inside_object, bool object_completed) {
+    last_received_ = now;
+    inside_object_ = inside_object;
+    if (!object_completed) return;
+    first_object_received_ = true;
+    backoff_ = {};
 }
 
 void WatchSchedule::ended(Time now) {
     open_ = false;
-    pause_ = std::clamp(2 * pause_, limits_.retry_least, limits_.retry_most);
-    open_at_ = now + pause_;
+    backoff_ = std::clamp(2 * backoff_, limits_.backoff_initial, limits_.backoff_max);
+    next_open_ = now + backoff_;
 }
 
 void WatchSchedule::target_changed(Time now) {
     open_ = false;
-    pause_ = {};
-    open_at_ = now;
+    backoff_ = {};
+    next_open_ = now;
 }
 
 bool WatchSchedule::silent(Time now) const {
     if (!open_) return false;
-    if (!first_object_here_ && now - opened_at_ > limits_.first_object) return true;
-    const bool awaited = !first_object_here_ || midway_;
-    return now - heard_at_ > (awaited ? limits_.silence_midway : limits_.silence);
+    if (!first_object_received_ && now - opened_at_ > limits_.first_object_timeout) return true;
+    const bool object_expected = !first_object_received_ || inside_object_;
+    const Duration timeout = object_expected ? limits_.object_silence_timeout : limits_.silence_timeout;
+    return now - last_received_ > timeout;
 }
 
 }  // namespace chalksail::membership
--- a/src/net/admin.cpp
+++ b/src/net/admin.cpp
@@ -93,7 +93,7 @@
     return R"({"scope":"complete","servers":[)" + list + "]}";
 }
 
-void SettingsSource::start(membership::ListSink& sink) {
+void SettingsSource::start(membership::EndpointSink& sink) {
     if (settings_.servers.empty()) return;
     membership::EndpointList out;
     for (const auto& s : settings_.servers) {
@@ -108,13 +108,13 @@
         listed.replay = s.replay;
         out.endpoints.push_back(std::move(listed));
     }
-    sink.take(std::move(out));
+    sink.apply(std::move(out));
 }
 
 std::optional<std::string> AdminSource::post(std::string_view body) {
     auto list = parse_server_list(body, kinds_, offset_);
     if (!list) return list.error();
-    sink_->take(std::move(*list));
+    sink_->apply(std::move(*list));
     return std::nullopt;
 }
 
--- a/src/net/admin.hpp
+++ b/src/net/admin.hpp
@@ -16,7 +16,7 @@
 
 #include "core/edge.hpp"
 #include "http/message.hpp"
-#include "membership/source.hpp"
+#include "membership/endpoint_source.hpp"
 
 namespace chalksail::net {
 
@@ -32,21 +32,21 @@
                                              ClockOffset offset);
 
 // The settings' own servers, told once as a complete list.
-class SettingsSource : public membership::ListSource {
+class SettingsSource : public membership::EndpointSource {
 public:
     explicit SettingsSource(const config::EdgeSettings& settings) : settings_(settings) {}
-    void start(membership::ListSink& sink) override;
+    void start(membership::EndpointSink& sink) override;
 
 private:
     const config::EdgeSettings& settings_;
 };
 
 // What is posted to the admin listener.
-class AdminSource : public membership::ListSource {
+class AdminSource : public membership::EndpointSource {
 public:
     AdminSource(std::set<std::string> kinds, ClockOffset offset)
         : kinds_(std::move(kinds)), offset_(offset) {}
-    void start(membership::ListSink& sink) override { sink_ = &sink; }
+    void start(membership::EndpointSink& sink) override { sink_ = &sink; }
     // Takes a POST /servers: an error text, or nothing once the list is in force.
     [[nodiscard]] std::optional<std::string> post(std::string_view body);
     [[nodiscard]] ClockOffset offset() const { return offset_; }
@@ -54,7 +54,7 @@
 private:
     std::set<std::string> kinds_;
     ClockOffset offset_;
-    membership::ListSink* sink_ = nullptr;
+    membership::EndpointSink* sink_ = nullptr;
 };
 
 }  // namespace chalksail::net
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -46,7 +46,7 @@
              [](uv_handle_t* h) { delete reinterpret_cast<uv_timer_t*>(h); });
 }
 
-void DiscoveryWatch::start(membership::ListSink& sink) {
+void DiscoveryWatch::start(membership::EndpointSink& sink) {
     sink_ = &sink;
     if (known_) {
         take(*known_, EndpointUpdateKind::cached_snapshot);
@@ -153,7 +153,7 @@
         list.endpoints.push_back(std::move(s));
         if (i.state == EndpointState::removed) start_times_.forget(i.id);
     }
-    sink_->take(std::move(list));
+    sink_->apply(std::move(list));
 }
 
 }  // namespace chalksail::net
--- a/src/net/discovery_watch.hpp
+++ b/src/net/discovery_watch.hpp
@@ -12,7 +12,7 @@
 #include <optional>
 #include <string>
 
-#include "membership/source.hpp"
+#include "membership/endpoint_source.hpp"
 #include "membership/wall_clock.hpp"
 #include "membership/watch_schedule.hpp"
 #include "net/upstream_pool.hpp"
@@ -23,7 +23,7 @@
 
 using membership::WatchLimits;
 
-class DiscoveryWatch : public membership::ListSource, UpstreamPool::Handler {
+class DiscoveryWatch : public membership::EndpointSource, UpstreamPool::Handler {
 public:
     // `known`: a list from before, which may be old.
     DiscoveryWatch(uv_loop_t& loop, observe::Log& log, Address discovery,
@@ -32,7 +32,7 @@
     DiscoveryWatch(const DiscoveryWatch&) = delete;
     DiscoveryWatch& operator=(const DiscoveryWatch&) = delete;
 
-    void start(membership::ListSink& sink) override;
+    void start(membership::EndpointSink& sink) override;
     // Discovery answers at another address from now on. The list stays until the whole one of there is in.
     void move(Address discovery);
 
@@ -54,7 +54,7 @@
     std::optional<platform::EndpointListUpdate> known_;
     WatchLimits limits_;
     UpstreamPool pool_;
-    membership::ListSink* sink_ = nullptr;
+    membership::EndpointSink* sink_ = nullptr;
     uv_timer_t* timer_ = nullptr;
     membership::WallClock wall_clock_;
     membership::StartTimes start_times_;
--- a/src/net/edge_server.cpp
+++ b/src/net/edge_server.cpp
@@ -100,7 +100,7 @@
 };
 
 EdgeServer::EdgeServer(uv_loop_t& loop, const config::EdgeSettings& settings, observe::Log& log,
-                       std::unique_ptr<membership::ListSource> list)
+                       std::unique_ptr<membership::EndpointSource> list)
     : loop_(loop),
       settings_(settings),
       log_(log),
@@ -364,7 +364,7 @@
     }
 }
 
-void EdgeServer::take(membership::EndpointList list) { add(std::move(list)); }
+void EdgeServer::apply(membership::EndpointList update) { add(std::move(update)); }
 
 void EdgeServer::admin_request(HttpServer::Peer peer, const http::Request& request) {
     http::Headers headers;
--- a/src/net/edge_server.hpp
+++ b/src/net/edge_server.hpp
@@ -26,12 +26,12 @@
 
 namespace chalksail::net {
 
-class EdgeServer : HttpServer::Handler, UpstreamPool::Handler, CacheFeed::Handler, membership::ListSink {
+class EdgeServer : HttpServer::Handler, UpstreamPool::Handler, CacheFeed::Handler, membership::EndpointSink {
 public:
     // Throws std::runtime_error if an address can't be listened on, std::invalid_argument for bad settings.
     // `list`: where the list of servers comes from; nullptr: the settings' own, and the admin listener.
     EdgeServer(uv_loop_t& loop, const config::EdgeSettings& settings, observe::Log& log,
-               std::unique_ptr<membership::ListSource> list = nullptr);
+               std::unique_ptr<membership::EndpointSource> list = nullptr);
     ~EdgeServer() override;
     EdgeServer(const EdgeServer&) = delete;
     EdgeServer& operator=(const EdgeServer&) = delete;
@@ -63,7 +63,7 @@
     void on_cache_message(const std::string& server, std::uint64_t sequence, std::string payload,
                           bool replayed) override;
     void on_cache_replay_ended(const std::string& server) override;
-    void take(membership::EndpointList list) override;
+    void apply(membership::EndpointList update) override;
     void admin_request(HttpServer::Peer peer, const http::Request& request);
 
     [[nodiscard]] Target target_of(const core::Call& call);
@@ -93,7 +93,7 @@
     std::vector<core::Input> inputs_;
     std::map<std::string, tls::CertificateReloader> tls_;  // by kind of server
     std::optional<tls::CertificateReloader> listener_tls_;
-    std::unique_ptr<membership::ListSource> list_;
+    std::unique_ptr<membership::EndpointSource> list_;
     std::unique_ptr<SettingsSource> settings_source_;
     std::unique_ptr<AdminSource> admin_source_;
     Address address_;
--- a/tests/membership/wall_clock_test.cpp
+++ b/tests/membership/wall_clock_test.cpp
@@ -11,14 +11,14 @@
 constexpr Time kStart{1000s};
 constexpr Duration kWall = 500'000s;
 
-TEST(WallClock, WithoutStepsTheOffsetCounts) {
+TEST(WallClock, ConvertsByTheOffsetWithoutSteps) {
     WallClock clock(kStart, kWall);
     EXPECT_EQ(clock.to_monotonic(kWall - 900s), kStart - 900s);
-    clock.observe(kStart + 10s, kWall + 10s + 100ms);  // a reading that took its time is no step
+    clock.observe(kStart + 10s, kWall + 10s + 100ms);  // a delayed reading is no step
     EXPECT_EQ(clock.to_monotonic(kWall + 5s), kStart + 5s);
 }
 
-TEST(WallClock, TimesBeforeAndBehindEachStepAreToldApart) {
+TEST(WallClock, ConvertsTimesBeforeAndAfterEachStep) {
     for (const Duration step : {Duration(3600s), Duration(-3600s), Duration(-7s), Duration(30s)}) {
         WallClock clock(kStart, kWall);
         clock.observe(kStart + 100s, kWall + 100s + step);
@@ -29,8 +29,9 @@
     }
 }
 
-// Back by an hour, and on for two: what was shown twice is the later one; nothing lies in the future.
-TEST(WallClock, ShownTwiceTheLaterCounts) {
+// Back by an hour, then on for two: of two times that showed the same, the later counts; none is in the
+// future.
+TEST(WallClock, TakesTheLaterOfTwoTimes) {
     WallClock clock(kStart, kWall);
     clock.observe(kStart + 4000s, kWall + 400s);
     EXPECT_EQ(clock.to_monotonic(kWall + 1000s), kStart + 1000s);  // not shown a second time yet
@@ -49,15 +50,15 @@
     EXPECT_EQ(clock.to_monotonic(kWall + 1000s + moved), kStart + 1000s);
 }
 
-TEST(StartTimes, ToldAgainItIsTheSameStart) {
+TEST(StartTimes, ReportedAgainIsTheSameStart) {
     WallClock clock(kStart, kWall);
     StartTimes starts;
-    const std::int64_t told = 499'990'000;
-    const Time first = starts.of("w", told, clock);
+    const std::int64_t started_ms = 499'990'000;
+    const Time first = starts.of("w", started_ms, clock);
     EXPECT_EQ(first, kStart - 10s);
     clock.observe(kStart + 1s, kWall - 3600s);
-    EXPECT_EQ(starts.of("w", told, clock), first);
-    EXPECT_NE(starts.of("w", told + 5, clock), first);  // it has started anew
+    EXPECT_EQ(starts.of("w", started_ms, clock), first);
+    EXPECT_NE(starts.of("w", started_ms + 5, clock), first);  // it was restarted
     EXPECT_EQ(starts.of("x", 0, clock), Time{});
     starts.forget("w");
     EXPECT_EQ(starts.size(), 0U);
--- a/tests/membership/watch_schedule_test.cpp
+++ b/tests/membership/watch_schedule_test.cpp
@@ -1,4 +1,4 @@
-// Worst cases of a watch that breaks, with a clock of the test's own.
+// Worst cases of a watch that breaks, on a simulated clock.
 #include "membership/watch_schedule.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-// What a call that comes to nothing looks like.
+// How a call can fail.
 enum class Broken {
     refused,
     dial,
@@ -25,12 +25,12 @@
 constexpr Broken kAll[] = {
     Broken::refused,       Broken::dial,      Broken::before_head, Broken::after_head,
     Broken::inside_object, Broken::dribbling, Broken::ended,       Broken::reset_after_object};
-constexpr Duration kLook = 20ms;        // how often the owner asks
-constexpr Duration kHeadAfter = 400ms;  // as late as a slow answer begins
+constexpr Duration kPollInterval = 20ms;  // how often the owner polls
+constexpr Duration kHeadDelay = 400ms;    // until the head of a slow answer
 
 class Watch {
 public:
-    // A watch that is open and has told its list; its last word is just said, and it falls silent.
+    // An open watch that has delivered its list, received its last byte just now, and falls silent.
     Watch() {
         schedule.opened(now);
         schedule.received(now, false, true);
@@ -38,7 +38,7 @@
     // Until the next call is started.
     void wait() {
         for (;;) {
-            now += kLook;
+            now += kPollInterval;
             if (schedule.silent(now)) schedule.ended(now);
             if (!schedule.due(now)) continue;
             schedule.opened(now);
@@ -49,19 +49,19 @@
         const Time opened = now;
         switch (how) {
             case Broken::refused: return schedule.ended(now);
-            case Broken::dial: now += limits.dial_timeout + kLook; return schedule.ended(now);
+            case Broken::dial: now += limits.dial_timeout + kPollInterval; return schedule.ended(now);
             case Broken::before_head: return;
-            case Broken::after_head: now += kHeadAfter; return schedule.received(now, false, false);
-            case Broken::inside_object: now += kHeadAfter; return schedule.received(now, true, false);
+            case Broken::after_head: now += kHeadDelay; return schedule.received(now, false, false);
+            case Broken::inside_object: now += kHeadDelay; return schedule.received(now, true, false);
             case Broken::dribbling:
                 while (!schedule.silent(now)) {
                     schedule.received(now, true, false);
-                    now += kLook;
+                    now += kPollInterval;
                     ASSERT_LT(now - opened, 10s);
                 }
                 return schedule.ended(now);
             case Broken::ended:
-                now += kHeadAfter;
+                now += kHeadDelay;
                 schedule.received(now, false, false);
                 return schedule.ended(now);
             case Broken::reset_after_object: schedule.received(now, false, true); return schedule.ended(now);
@@ -72,10 +72,10 @@
     Time now{1000s};
 };
 
-// What a broken watch misses counts as known 6 s after it fell silent. Whatever one further call comes to,
-// the next is open well before; and after two, in time.
-TEST(WatchSchedule, SilenceIsMendedInsideSixSecondsAfterAnyTwoBrokenCalls) {
-    EXPECT_GT(WatchLimits{}.silence, 2s);  // discovery says something every 2 s
+// A change that a broken watch missed must be known 6 s after the watch fell silent. Whatever becomes of one
+// further call, the next is open well before; and after two, in time.
+TEST(WatchSchedule, RecoversFromSilenceWithinSixSecondsAfterAnyTwoBrokenCalls) {
+    EXPECT_GT(WatchLimits{}.silence_timeout, 2s);  // discovery sends white space every 2 s
     Duration one{};
     Duration two{};
     for (const auto first : kAll) {
@@ -99,9 +99,9 @@
     EXPECT_LT(two, 6s - 500ms);
 }
 
-// A list that can be had is known within 6 s, whatever came to nothing just before: the longest wait from any
-// moment to the next call's start, with pauses as long as they get.
-TEST(WatchSchedule, DiscoveryThatComesBackIsAskedWithinSixSeconds) {
+// A reachable list is known within 6 s, whatever failed just before: the longest wait from any moment to the
+// start of the next call, at the maximum backoff.
+TEST(WatchSchedule, PollsARecoveredDiscoveryWithinSixSeconds) {
     for (const auto how : kAll) {
         Watch w;
         w.wait();
@@ -109,15 +109,15 @@
             w.break_call(how);
             w.wait();
         }
-        const Time back = w.now;  // right after a call that will come to nothing has begun
+        const Time back = w.now;  // right after a call that will fail was started
         w.break_call(how);
         w.wait();
         EXPECT_LT(w.now - back, 3s) << static_cast<int>(how);
     }
 }
 
-// A quiet list is no silent watch: discovery speaks every 2 s.
-TEST(WatchSchedule, WatchThatSaysSomethingNowAndThenStays) {
+// A list without changes is no silent watch: discovery sends white space every 2 s.
+TEST(WatchSchedule, StaysOpenWhileWhiteSpaceArrives) {
     Watch w;
     for (int i = 0; i < 100; ++i) {
         w.now += 2s + 100ms;
@@ -126,8 +126,9 @@
     }
 }
 
-// One that breaks after it has told its list is opened again at once, however often others broke before.
-TEST(WatchSchedule, PausesGrowOnlyWhileNothingIsTold) {
+// A watch that breaks after it has delivered its list is opened again at once, however often calls failed
+// before.
+TEST(WatchSchedule, BackoffGrowsOnlyWhileNoObjectArrives) {
     Watch w;
     for (int i = 0; i < 10; ++i) {
         w.wait();
@@ -138,10 +139,10 @@
     const Time broke = w.now;
     w.schedule.ended(w.now);
     w.wait();
-    EXPECT_LE(w.now - broke, w.limits.retry_least + kLook);
+    EXPECT_LE(w.now - broke, w.limits.backoff_initial + kPollInterval);
 }
 
-TEST(WatchSchedule, MovedIsDueAtOnce) {
+TEST(WatchSchedule, IsDueAtOnceAfterTheTargetChanged) {
     Watch w;
     w.wait();
     w.break_call(Broken::refused);
--- a/tests/net/crossing_test.cpp
+++ b/tests/net/crossing_test.cpp
@@ -299,7 +299,7 @@
 // Ready, and taking requests, with discovery silent and a crowd that says nothing at the limit of
 // connections; served once the list can be had, which idle clients don't keep out.
 TEST_F(PlatformRig, ReadyBesideASilentCrowdWhileDiscoveryIsDown) {
-    watch_limits.silence_midway = 50ms;
+    watch_limits.object_silence_timeout = 50ms;
     quiet = true;
     begin([](auto& p) { p.send(kStream); }, [](auto& s) { s.limits.connections = 8; });
     for (int i = 0; i < 30; ++i) client();
--- a/tests/net/platform_socket_test.cpp
+++ b/tests/net/platform_socket_test.cpp
@@ -191,7 +191,7 @@
 // ---- discovery ----
 
 TEST_F(PlatformRig, WatchIsTakenUpAgainWithTheWholeList) {
-    watch_limits.silence = 1h;  // it is not silence that ends a watch here
+    watch_limits.silence_timeout = 1h;  // it is not silence that ends a watch here
     begin([](auto& p) { p.send(kStream); });
     EXPECT_TRUE(served("a1"));
     discovery->peers[0]->close();
@@ -208,7 +208,7 @@
 // Guards against a discovery that starts anew under its watch and counts from a lower number: its changes
 // were passed over as known. They tell that the whole list is needed.
 TEST_F(PlatformRig, ChangesThatDoNotFollowAreAnsweredByTheWholeList) {
-    watch_limits.silence = 1h;  // it is not silence that ends a watch here
+    watch_limits.silence_timeout = 1h;  // it is not silence that ends a watch here
     begin([](auto& p) { p.send(kStream); });
     EXPECT_TRUE(served("a1"));
     const auto gone = told::instance("w1", "writer", format_address(writer->address), "removed");
@@ -240,8 +240,8 @@
 // Guards against a watch that stops inside an object: what was in it is missed, and a pause there is no pause
 // between two changes.
 TEST_F(PlatformRig, WatchThatStopsInsideAnObjectIsTakenUpAnewSoon) {
-    watch_limits.silence_midway = 50ms;
-    watch_limits.silence = 1h;
+    watch_limits.object_silence_timeout = 50ms;
+    watch_limits.silence_timeout = 1h;
     begin([](auto& p) { p.send(kStream); });
     EXPECT_TRUE(served("a1"));
     discovery->peers[0]->send(chunked("{\"generation\":42,"));
@@ -259,7 +259,7 @@
 
 // A watch that says nothing, not even an empty line, may have lost its other end.
 TEST_F(PlatformRig, SilentWatchIsTakenUpAnew) {
-    watch_limits.silence = 100ms;
+    watch_limits.silence_timeout = 100ms;
     begin([](auto& p) { p.send(kStream); });
     EXPECT_TRUE(until([&] { return discovery->requests >= 3; }));
     EXPECT_TRUE(served("a1"));
@@ -268,8 +268,8 @@
 // Guards against a watch that is opened to a discovery that takes connections and says nothing: it is
 // answered at once or given up, long before an old watch's silence counts.
 TEST_F(PlatformRig, NewWatchThatIsNotAnsweredIsTakenUpAnewSoon) {
-    watch_limits.silence_midway = 50ms;
-    watch_limits.silence = 1h;
+    watch_limits.object_silence_timeout = 50ms;
+    watch_limits.silence_timeout = 1h;
     quiet = true;
     begin([](auto& p) { p.send(kStream); });
     EXPECT_TRUE(until([&] { return discovery->requests >= 3; }));
--- a/tests/net/wall_clock_step_test.cpp
+++ b/tests/net/wall_clock_step_test.cpp
@@ -27,14 +27,14 @@
         .count();
 }
 
-class WallClockStep : public Rig, public membership::ListSink {
+class WallClockStep : public Rig, public membership::EndpointSink {
 protected:
     ~WallClockStep() override {
         watch.reset();
         discovery.reset();
         wall_step = std::chrono::seconds(0);
     }
-    void take(membership::EndpointList list) override { lists.push_back(std::move(list)); }
+    void apply(membership::EndpointList update) override { lists.push_back(std::move(update)); }
     void begin() {
         discovery = std::make_unique<RawServer>(loop, [this](RawServer::Peer& p) {
             peer = &p;
