--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -3,121 +3,141 @@
 #include <lmdb.h>
 
 #include <filesystem>
-#include <stdexcept>
 #include <utility>
 
 namespace chalksail::store {
 namespace {
 
-constexpr std::size_t kNameMost = 500;  // LMDB's keys are at most 511
+constexpr mdb_mode_t kFileMode = 0600;
 
-void must(int rc, const char* what) {
-    if (rc != MDB_SUCCESS) throw std::runtime_error(std::string("store: ") + what + ": " + mdb_strerror(rc));
+// Throws for every LMDB return code but success.
+void check(int code, const char* operation, StoreError::Kind kind = StoreError::Kind::io) {
+    if (code == MDB_SUCCESS) return;
+    if (code == MDB_MAP_FULL) kind = StoreError::Kind::full;
+    throw StoreError(kind, std::string(operation) + ": " + mdb_strerror(code));
+}
+MDB_val to_value(std::string_view text) { return {text.size(), const_cast<char*>(text.data())}; }
+std::string to_string(const MDB_val& value) {
+    return {static_cast<const char*>(value.mv_data), value.mv_size};
 }
-MDB_val value_of(std::string_view text) { return {text.size(), const_cast<char*>(text.data())}; }
-std::string text_of(const MDB_val& v) { return {static_cast<const char*>(v.mv_data), v.mv_size}; }
 
-// Ends with the scope; what was not committed did not happen.
+// Aborted at the end of its scope unless it was committed.
 class Transaction {
 public:
-    Transaction(MDB_env* env, unsigned flags) { must(mdb_txn_begin(env, nullptr, flags, &txn_), "begin"); }
+    Transaction(MDB_env* environment, unsigned flags) {
+        check(mdb_txn_begin(environment, nullptr, flags, &transaction_), "begin");
+    }
     ~Transaction() {
-        if (txn_ != nullptr) mdb_txn_abort(txn_);
+        if (transaction_ != nullptr) mdb_txn_abort(transaction_);
     }
     Transaction(const Transaction&) = delete;
     Transaction& operator=(const Transaction&) = delete;
-    void commit() { must(mdb_txn_commit(std::exchange(txn_, nullptr)), "commit"); }
-    [[nodiscard]] MDB_txn* get() const { return txn_; }
+    void commit() { check(mdb_txn_commit(std::exchange(transaction_, nullptr)), "commit"); }
+    [[nodiscard]] MDB_txn* get() const { return transaction_; }
 
 private:
-    MDB_txn* txn_ = nullptr;
+    MDB_txn* transaction_ = nullptr;
 };
 
 }  // namespace
 
-class Store::Impl {
+// Owns the LMDB environment and the handle of its one table.
+class Store::Database {
 public:
-    Impl(const std::string& file, std::size_t bytes_most) {
+    Database(const std::string& file, std::size_t max_bytes) {
+        constexpr auto kUnusable = StoreError::Kind::unusable;
         try {
-            must(mdb_env_create(&env_), "create");
-            must(mdb_env_set_mapsize(env_, bytes_most), "size");
-            must(mdb_env_open(env_, file.c_str(), MDB_NOSUBDIR | MDB_NOSYNC | MDB_NOTLS, 0600), "open");
-            Transaction t(env_, 0);
-            must(mdb_dbi_open(t.get(), nullptr, 0, &values_), "open");
-            t.commit();
+            check(mdb_env_create(&environment_), "create", kUnusable);
+            check(mdb_env_set_mapsize(environment_, max_bytes), "size", kUnusable);
+            constexpr unsigned kFlags = MDB_NOSUBDIR | MDB_NOSYNC | MDB_NOTLS;
+            check(mdb_env_open(environment_, file.c_str(), kFlags, kFileMode), "open", kUnusable);
+            Transaction transaction(environment_, 0);
+            check(mdb_dbi_open(transaction.get(), nullptr, 0, &table_), "open", kUnusable);
+            transaction.commit();
         } catch (...) {
-            mdb_env_close(env_);
+            mdb_env_close(environment_);
             throw;
         }
     }
-    ~Impl() { mdb_env_close(env_); }
-    Impl(const Impl&) = delete;
-    Impl& operator=(const Impl&) = delete;
+    ~Database() { mdb_env_close(environment_); }
+    Database(const Database&) = delete;
+    Database& operator=(const Database&) = delete;
+
+    [[nodiscard]] MDB_env* environment() const { return environment_; }
+    [[nodiscard]] MDB_dbi table() const { return table_; }
+    // Bytes that the pages in use take in the file.
+    [[nodiscard]] std::size_t bytes_in_use() const {
+        MDB_envinfo info{};
+        MDB_stat stat{};
+        check(mdb_env_info(environment_, &info), "size");
+        check(mdb_env_stat(environment_, &stat), "size");
+        return (info.me_last_pgno + 1) * stat.ms_psize;
+    }
 
-    MDB_env* env_ = nullptr;
-    MDB_dbi values_ = 0;
+private:
+    MDB_env* environment_ = nullptr;
+    MDB_dbi table_ = 0;
 };
 
-Store::Store(const std::string& folder, std::size_t bytes_most) {
-    std::error_code failed;
-    std::filesystem::create_directories(folder, failed);
-    if (failed) throw std::runtime_error("store: " + folder + ": " + failed.message());
+Store::Store(const std::string& folder, std::size_t max_bytes) {
+    std::error_code error;
+    std::filesystem::create_directories(folder, error);
+    if (error) throw StoreError(StoreError::Kind::unusable, folder + ": " + error.message());
     const std::string file = folder + "/values.mdb";
-    const auto open = [&] {
-        impl_ = std::make_unique<Impl>(file, bytes_most);
-        // Guards against a file that was cut short: reading a page that is not there would end the process.
-        MDB_envinfo info{};
-        MDB_stat stat{};
-        must(mdb_env_info(impl_->env_, &info), "size");
-        must(mdb_env_stat(impl_->env_, &stat), "size");
-        if (std::filesystem::file_size(file) < (info.me_last_pgno + 1) * stat.ms_psize)
-            throw std::runtime_error("store: the file is cut short");
-        (void)all();  // reads it all: a damaged file shows here
-    };
     try {
-        open();
+        open(file, max_bytes);
     } catch (const std::exception&) {
-        impl_.reset();
-        std::filesystem::rename(file, file + ".unusable", failed);
-        if (failed) throw;
-        std::filesystem::remove(file + "-lock", failed);
-        open();
+        database_.reset();
+        std::filesystem::rename(file, file + ".unusable", error);
+        if (error) throw;
+        std::filesystem::remove(file + "-lock", error);
+        open(file, max_bytes);
         set_aside_ = true;
     }
 }
 Store::~Store() = default;
 
+void Store::open(const std::string& file, std::size_t max_bytes) {
+    database_ = std::make_unique<Database>(file, max_bytes);
+    // Guards against a truncated file: reading a page beyond its end would kill the process by SIGBUS.
+    if (std::filesystem::file_size(file) < database_->bytes_in_use())
+        throw StoreError(StoreError::Kind::unusable, "the file is cut short");
+    (void)all();  // reads every page, so that damage shows here
+}
+
 std::map<std::string, std::string> Store::all() const {
-    std::map<std::string, std::string> out;
-    const Transaction t(impl_->env_, MDB_RDONLY);
+    std::map<std::string, std::string> values;
+    const Transaction transaction(database_->environment(), MDB_RDONLY);
     MDB_cursor* cursor = nullptr;
-    must(mdb_cursor_open(t.get(), impl_->values_, &cursor), "read");
-    MDB_val name, value;
-    int rc = MDB_SUCCESS;
-    while ((rc = mdb_cursor_get(cursor, &name, &value, MDB_NEXT)) == MDB_SUCCESS)
-        out.emplace(text_of(name), text_of(value));
+    check(mdb_cursor_open(transaction.get(), database_->table(), &cursor), "read");
+    MDB_val key, value;
+    int code = MDB_SUCCESS;
+    while ((code = mdb_cursor_get(cursor, &key, &value, MDB_NEXT)) == MDB_SUCCESS)
+        values.emplace(to_string(key), to_string(value));
     mdb_cursor_close(cursor);
-    if (rc != MDB_NOTFOUND) must(rc, "read");
-    return out;
+    if (code != MDB_NOTFOUND) check(code, "read");
+    return values;
 }
 
-void Store::put(std::string_view name, std::string_view value) {
-    if (name.empty() || name.size() > kNameMost) throw std::runtime_error("store: a name of a wrong length");
-    Transaction t(impl_->env_, 0);
-    MDB_val key = value_of(name), data = value_of(value);
-    must(mdb_put(t.get(), impl_->values_, &key, &data, 0), "write");
-    t.commit();
+void Store::put(std::string_view key, std::string_view value) {
+    if (key.empty() || key.size() > kMaxKeyBytes)
+        throw StoreError(StoreError::Kind::invalid_key, "a name of a wrong length");
+    Transaction transaction(database_->environment(), 0);
+    MDB_val key_bytes = to_value(key);
+    MDB_val value_bytes = to_value(value);
+    check(mdb_put(transaction.get(), database_->table(), &key_bytes, &value_bytes, 0), "write");
+    transaction.commit();
 }
 
-void Store::erase(std::string_view name) {
-    Transaction t(impl_->env_, 0);
-    MDB_val key = value_of(name);
-    const int rc = mdb_del(t.get(), impl_->values_, &key, nullptr);
-    if (rc == MDB_NOTFOUND) return;
-    must(rc, "erase");
-    t.commit();
+void Store::erase(std::string_view key) {
+    Transaction transaction(database_->environment(), 0);
+    MDB_val key_bytes = to_value(key);
+    const int code = mdb_del(transaction.get(), database_->table(), &key_bytes, nullptr);
+    if (code == MDB_NOTFOUND) return;
+    check(code, "erase");
+    transaction.commit();
 }
 
-void Store::flush() { must(mdb_env_sync(impl_->env_, 1), "flush"); }
+void Store::flush() { check(mdb_env_sync(database_->environment(), 1), "flush"); }
 
 }  // namespace chalksail::store
--- a/tests/store/store_test.cpp
+++ b/tests/store/store_test.cpp
@@ -1,4 +1,4 @@
-// The embedded store: what is put is there after a restart, and a file that is no good is no reason to stop.
+// The embedded store: values survive a restart, and an unusable file is replaced.
 #include "store/store.hpp"
 
 #include <gtest/gtest.h>
@@ -6,12 +6,12 @@
 
 #include <filesystem>
 #include <fstream>
-#include <stdexcept>
+#include <optional>
 
 namespace chalksail::store {
 namespace {
 
-constexpr std::size_t kRoom = 1 << 20;
+constexpr std::size_t kMaxBytes = 1 << 20;
 
 class StoreTest : public ::testing::Test {
 protected:
@@ -24,9 +24,9 @@
     std::filesystem::path folder;
 };
 
-TEST_F(StoreTest, KeepsValuesOverARestart) {
+TEST_F(StoreTest, ValuesSurviveARestart) {
     {
-        Store s(folder, kRoom);
+        Store s(folder, kMaxBytes);
         EXPECT_TRUE(s.all().empty());
         s.put("a", "one");
         s.put("b", std::string("t\0wo", 5));
@@ -36,50 +36,59 @@
         s.erase("never there");
         s.flush();
     }
-    Store s(folder, kRoom);
+    Store s(folder, kMaxBytes);
     EXPECT_FALSE(s.set_aside());
     const std::map<std::string, std::string> wanted{{"a", "another"}, {"b", std::string("t\0wo", 5)}};
     EXPECT_EQ(s.all(), wanted);
 }
 
-TEST_F(StoreTest, FullStoreSaysSoAndKeepsTheFormerValue) {
-    Store s(folder, kRoom);
+TEST_F(StoreTest, FailedWriteLeavesTheFormerValue) {
+    Store s(folder, kMaxBytes);
     s.put("a", "small");
-    EXPECT_THROW(s.put("a", std::string(2 * kRoom, 'x')), std::runtime_error);
-    EXPECT_THROW(s.put("", "x"), std::runtime_error);
-    EXPECT_THROW(s.put(std::string(600, 'n'), "x"), std::runtime_error);
+    const auto error_of = [&](const std::string& key, const std::string& value) {
+        std::optional<StoreError::Kind> kind;
+        try {
+            s.put(key, value);
+        } catch (const StoreError& error) {
+            kind = error.kind();
+        }
+        return kind;
+    };
+    EXPECT_EQ(error_of("a", std::string(2 * kMaxBytes, 'x')), StoreError::Kind::full);
+    EXPECT_EQ(error_of("", "x"), StoreError::Kind::invalid_key);
+    EXPECT_EQ(error_of(std::string(600, 'n'), "x"), StoreError::Kind::invalid_key);
     EXPECT_EQ(s.all().at("a"), "small");
     s.put("b", "goes on");
     EXPECT_EQ(s.all().size(), 2U);
 }
 
-TEST_F(StoreTest, FileThatIsNoneIsSetAside) {
+TEST_F(StoreTest, InvalidFileIsSetAside) {
     std::filesystem::create_directories(folder);
     std::ofstream(file()) << std::string(20'000, 'z');
-    Store s(folder, kRoom);
+    Store s(folder, kMaxBytes);
     EXPECT_TRUE(s.set_aside());
     EXPECT_TRUE(s.all().empty());
     s.put("a", "one");
     EXPECT_TRUE(std::filesystem::exists(file().string() + ".unusable"));
 }
 
-// Reading a page past the end of the file would end the process by a signal.
-TEST_F(StoreTest, FileCutShortIsSetAside) {
+// Reading a page past the end of the file would kill the process by SIGBUS.
+TEST_F(StoreTest, TruncatedFileIsSetAside) {
     {
-        Store s(folder, kRoom);
+        Store s(folder, kMaxBytes);
         for (int i = 0; i < 100; ++i) s.put("name" + std::to_string(i), std::string(3000, 'v'));
         s.flush();
     }
     std::filesystem::resize_file(file(), std::filesystem::file_size(file()) / 2);
-    Store s(folder, kRoom);
+    Store s(folder, kMaxBytes);
     EXPECT_TRUE(s.set_aside());
     EXPECT_TRUE(s.all().empty());
 }
 
-TEST_F(StoreTest, FolderThatCannotBeIsAnError) {
+TEST_F(StoreTest, UnusableFolderIsAnError) {
     std::filesystem::create_directories(folder);
     std::ofstream(folder / "plain") << "a file";
-    EXPECT_THROW(Store((folder / "plain").string(), kRoom), std::runtime_error);
+    EXPECT_THROW(Store((folder / "plain").string(), kMaxBytes), StoreError);
 }
 
 }  // namespace
