--- a/bench/prefix_bench.cpp
+++ b/bench/prefix_bench.cpp
@@ -9,7 +9,7 @@
 #include <random>
 #include <string>
 
-#include "prefix/index.hpp"
+#include "prefix/prefix_index.hpp"
 
 using namespace chalksail::prefix;
 
@@ -26,8 +26,8 @@
 }
 
 struct Fleet {
-    Index index{four_bytes};
-    std::vector<Index::Engine> engines;
+    PrefixIndex index{four_bytes};
+    std::vector<EngineId> engines;
     std::vector<std::vector<Token>> shared;
     std::mt19937_64 random{7};
     EngineHash last = 0;
@@ -75,7 +75,7 @@
         texts.push_back(std::move(text));
     }
     std::size_t i = 0, found = 0;
-    for (auto _ : state) found += f.index.held("m", texts[i++ % texts.size()]).size();
+    for (auto _ : state) found += f.index.find("m", texts[i++ % texts.size()]).size();
     state.counters["engines_found"] =
         benchmark::Counter(static_cast<double>(found), benchmark::Counter::kAvgIterations);
     state.counters["blocks"] = static_cast<double>(f.index.blocks());
--- a/lab/model/engine.hpp
+++ b/lab/model/engine.hpp
@@ -20,7 +20,7 @@
 #include <vector>
 
 #include "model/text.hpp"
-#include "prefix/events.hpp"
+#include "prefix/cache_events.hpp"
 
 namespace chalksail::lab {
 
--- a/lab/simulation/compare.cpp
+++ b/lab/simulation/compare.cpp
@@ -93,7 +93,7 @@
             r.cache_batches += p.figures.cache_batches;
             r.cache_lost += p.figures.cache_lost;
             r.gaps += p.figures.prefixes.gaps;
-            r.unfilled += p.figures.prefixes.unfilled;
+            r.unfilled += p.figures.prefixes.unfilled_gaps;
         }
         out.push_back(std::move(r));
     }
--- a/lab/simulation/simulation.cpp
+++ b/lab/simulation/simulation.cpp
@@ -655,7 +655,7 @@
         figures_.prefixes.trusted += p.trusted;
         figures_.prefixes.blocks += p.blocks;
         figures_.prefixes.gaps += p.gaps;
-        figures_.prefixes.unfilled += p.unfilled;
+        figures_.prefixes.unfilled_gaps += p.unfilled_gaps;
         figures_.prefixes.restarts += p.restarts;
     }
     return checker_.finish();
--- a/lab/sockets/cache_publisher.hpp
+++ b/lab/sockets/cache_publisher.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "base/units.hpp"
-#include "prefix/events.hpp"
+#include "prefix/cache_events.hpp"
 
 namespace chalksail::lab {
 
--- a/src/core/edge.cpp
+++ b/src/core/edge.cpp
@@ -57,9 +57,9 @@
                                  [](const auto& k) { return k.cache_events; });
     if (!any) return;
     prefix::ReportedCaches::Limits limits;
-    limits.index.blocks_each = static_cast<std::size_t>(settings_.cache_events.blocks_per_server);
-    limits.decode.bytes = settings_.cache_events.message_bytes;
-    limits.held_batches = static_cast<std::size_t>(settings_.cache_events.held_batches);
+    limits.index.max_blocks_per_engine = static_cast<std::size_t>(settings_.cache_events.blocks_per_server);
+    limits.decode.max_bytes = settings_.cache_events.message_bytes;
+    limits.max_pending_batches = static_cast<std::size_t>(settings_.cache_events.held_batches);
     prefix::TokenText text = engine::four_bytes_of;
     if (settings_.cache_events.vocabulary == config::Vocabulary::tokenizer) {
         if (vocabulary == nullptr) throw std::invalid_argument("cache-events: the tokenizer is missing");
--- a/src/core/edge_servers.cpp
+++ b/src/core/edge_servers.cpp
@@ -131,7 +131,7 @@
         const auto from = prefixes_->restore(server, kept->second);
         snapshots_.erase(kept);
         if (!from) {
-            emit(EmitRecord{observe::ServerRecord{server, "cache_snapshot", from.error()}});
+            emit(EmitRecord{observe::ServerRecord{server, "cache_snapshot", from.error().text}});
             emit(DropCacheSnapshot{server});
             continue;
         }
--- a/src/net/cache_feed.cpp
+++ b/src/net/cache_feed.cpp
@@ -6,7 +6,7 @@
 #include <stdexcept>
 #include <vector>
 
-#include "prefix/events.hpp"
+#include "prefix/cache_events.hpp"
 
 namespace chalksail::net {
 namespace {
--- a/src/net/edge_server.cpp
+++ b/src/net/edge_server.cpp
@@ -431,13 +431,13 @@
             metrics_.set("prefix_servers_told", static_cast<double>(p.trusted));
             metrics_.set("prefix_blocks", static_cast<double>(p.blocks));
             metrics_.set("prefix_messages", static_cast<double>(p.messages));
-            metrics_.set("prefix_messages_bad", static_cast<double>(p.bad_messages + heard.malformed));
+            metrics_.set("prefix_messages_bad", static_cast<double>(p.malformed_messages + heard.malformed));
             metrics_.set("prefix_gaps", static_cast<double>(p.gaps));
-            metrics_.set("prefix_gaps_unfilled", static_cast<double>(p.unfilled));
+            metrics_.set("prefix_gaps_unfilled", static_cast<double>(p.unfilled_gaps));
             metrics_.set("prefix_restarts", static_cast<double>(p.restarts));
             metrics_.set("prefix_snapshots_written", static_cast<double>(snapshots_written_));
-            metrics_.set("prefix_snapshots_proved", static_cast<double>(p.proved));
-            metrics_.set("prefix_snapshots_unproved", static_cast<double>(p.unproved));
+            metrics_.set("prefix_snapshots_proved", static_cast<double>(p.snapshots_verified));
+            metrics_.set("prefix_snapshots_unproved", static_cast<double>(p.snapshots_discarded));
         }
         metrics_.set("server_queue", static_cast<double>(s.waiting));
         http::Headers text;
--- /dev/null
+++ b/src/prefix/event_stream.cpp
@@ -0,0 +1,164 @@
+#include "prefix/event_stream.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace chalksail::prefix {
+namespace {
+
+void clear(EventStream::Update& update) {
+    update.clear = true;
+    update.apply.clear();
+}
+
+}  // namespace
+
+EventStream::Update EventStream::on_published(std::uint64_t sequence, Batch batch) {
+    if (state_ == State::empty) return on_first_batch(sequence, std::move(batch));
+    Update update;
+    if (is_from_another_process(sequence, batch)) {
+        update = on_restart();
+        Update first = on_first_batch(sequence, std::move(batch));
+        update.apply = std::move(first.apply);
+        update.replay_from = first.replay_from;
+        return update;
+    }
+    if (sequence < next_sequence_) {
+        counts_.duplicates += 1;
+        return update;
+    }
+    if (state_ == State::live && sequence == next_sequence_) {
+        apply(sequence, std::move(batch), update);
+        return update;
+    }
+    if (state_ == State::live) {
+        state_ = State::replaying;
+        counts_.gaps += 1;
+        update.replay_from = next_sequence_;
+    }
+    hold_back(sequence, std::move(batch), update);
+    return update;
+}
+
+EventStream::Update EventStream::on_first_batch(std::uint64_t sequence, Batch batch) {
+    Update update;
+    if (sequence == 0) {
+        state_ = State::live;
+        apply(0, std::move(batch), update);
+        return update;
+    }
+    // Joined late: what the engine stored before is in its past batches, as far as they go back.
+    state_ = State::replaying;
+    next_sequence_ = 0;
+    update.replay_from = 0;
+    hold_back(sequence, std::move(batch), update);
+    return update;
+}
+
+// Within one process, sequence numbers and timestamps grow together. A batch that is newer than one with a
+// higher number, applied or pending, is from a process started since.
+bool EventStream::is_from_another_process(std::uint64_t sequence, const Batch& batch) const {
+    const auto higher = pending_.upper_bound(sequence);
+    if (higher != pending_.end() && higher->second.timestamp < batch.timestamp) return true;
+    const bool no_newer = batch.timestamp <= newest_timestamp_;  // false for a timestamp that is NaN
+    return sequence < next_sequence_ && !no_newer;
+}
+
+EventStream::Update EventStream::on_replayed(std::uint64_t sequence, Batch batch) {
+    Update update;
+    if (state_ == State::unverified && sequence + 1 == next_sequence_) {
+        // Guards against a restarted engine whose numbers have come as far: only the process of the snapshot
+        // published this batch at this time.
+        if (batch.timestamp != last_timestamp_) return on_restart();
+        counts_.snapshots_verified += 1;
+        state_ = State::replaying;
+        return update;
+    }
+    if (state_ != State::replaying || sequence < next_sequence_) return update;
+    if (sequence > next_sequence_) skip_gap_to(sequence, update);  // the replay does not go back that far
+    apply(sequence, std::move(batch), update);
+    apply_pending(update);
+    return update;
+}
+
+EventStream::Update EventStream::on_replay_ended() {
+    if (state_ == State::unverified) return discard_snapshot();
+    Update update;
+    if (state_ != State::replaying) return update;
+    apply_pending(update);
+    while (!pending_.empty()) {
+        skip_gap_to(pending_.begin()->first, update);
+        apply_pending(update);
+    }
+    state_ = State::live;
+    return update;
+}
+
+EventStream::Update EventStream::on_restart() {
+    Update update;
+    clear(update);
+    counts_.restarts += 1;
+    state_ = State::empty;
+    next_sequence_ = 0;
+    pending_.clear();
+    return update;
+}
+
+EventStream::Update EventStream::resume(std::uint64_t next_sequence, double last_timestamp) {
+    Update update;
+    state_ = State::unverified;
+    next_sequence_ = next_sequence;
+    last_timestamp_ = last_timestamp;
+    newest_timestamp_ = last_timestamp;
+    pending_.clear();
+    update.replay_from = next_sequence - 1;
+    return update;
+}
+
+// Nothing shows that the engine is still the process of the snapshot. The next batch begins anew, with a
+// replay from the beginning.
+EventStream::Update EventStream::discard_snapshot() {
+    Update update;
+    clear(update);
+    counts_.snapshots_discarded += 1;
+    state_ = State::empty;
+    next_sequence_ = 0;
+    pending_.clear();
+    return update;
+}
+
+void EventStream::apply(std::uint64_t sequence, Batch batch, Update& update) {
+    next_sequence_ = sequence + 1;
+    newest_timestamp_ = std::max(newest_timestamp_, batch.timestamp);
+    last_timestamp_ = batch.timestamp;
+    counts_.applied += 1;
+    update.apply.push_back(std::move(batch));
+}
+
+// Applies the pending batches that follow on without a gap.
+void EventStream::apply_pending(Update& update) {
+    for (auto it = pending_.begin(); it != pending_.end() && it->first <= next_sequence_;) {
+        if (it->first == next_sequence_) apply(it->first, std::move(it->second), update);
+        it = pending_.erase(it);
+    }
+}
+
+// Goes on behind batches that are lost for good. Before the first batch there is nothing to clear.
+void EventStream::skip_gap_to(std::uint64_t sequence, Update& update) {
+    if (next_sequence_ > 0) {
+        counts_.unfilled_gaps += 1;
+        clear(update);
+    }
+    next_sequence_ = sequence;
+}
+
+void EventStream::hold_back(std::uint64_t sequence, Batch batch, Update& update) {
+    pending_.emplace(sequence, std::move(batch));
+    if (pending_.size() <= max_pending_) return;
+    // The replay does not keep up with what is published: go on from the batches that are here.
+    Update ended = on_replay_ended();
+    update.clear = update.clear || ended.clear;
+    for (auto& pending : ended.apply) update.apply.push_back(std::move(pending));
+}
+
+}  // namespace chalksail::prefix
--- a/src/prefix/snapshot.cpp
+++ b/src/prefix/snapshot.cpp
@@ -10,69 +10,87 @@
 namespace chalksail::prefix {
 namespace {
 
-constexpr std::uint32_t kFields = 5;       // of a block
-constexpr std::size_t kBlockBytes = 64;    // at most, of one
-constexpr std::size_t kHeadBytes = 4'096;  // of the rest
+using Kind = DecodeError::Kind;
+
+constexpr std::uint32_t kSnapshotFields = 5;
+constexpr std::uint32_t kBlockFields = 5;
+constexpr std::size_t kChecksumBytes = 8;
+constexpr std::size_t kMaxBlockBytes = 64;      // of one encoded block
+constexpr std::size_t kMaxHeaderBytes = 4'096;  // of everything but the blocks
+constexpr std::size_t kMaxDepth = 3;            // of nested arrays
+
+tl::unexpected<DecodeError> error(Kind kind, const char* reason) {
+    return tl::unexpected(DecodeError{kind, std::string("snapshot: ") + reason});
+}
+
+PrefixIndex::BlockRecord as_block(const msgpack::object* fields) {
+    PrefixIndex::BlockRecord block;
+    block.hash = fields[0].as<std::uint64_t>();
+    block.parent_key = fields[1].as<std::uint64_t>();
+    block.key = fields[2].as<std::uint64_t>();
+    block.tokens = fields[3].as<std::uint32_t>();
+    block.length = fields[4].as<std::uint16_t>();
+    return block;
+}
+
+// Throws msgpack's exceptions for fields of a wrong type.
+tl::expected<Snapshot, DecodeError> as_snapshot(const msgpack::object& object) {
+    if (object.type != msgpack::type::ARRAY || object.via.array.size != kSnapshotFields)
+        return error(Kind::malformed, "not one of ours");
+    const auto* fields = object.via.array.ptr;
+    if (fields[0].as<std::uint64_t>() != kSnapshotVersion) return error(Kind::version, "of another version");
+    Snapshot snapshot;
+    snapshot.space = fields[1].as<std::string>();
+    snapshot.next_sequence = fields[2].as<std::uint64_t>();
+    snapshot.last_timestamp = fields[3].as<double>();
+    if (snapshot.next_sequence == 0 || !std::isfinite(snapshot.last_timestamp))
+        return error(Kind::malformed, "nothing was known then");
+    if (fields[4].type != msgpack::type::ARRAY || fields[4].via.array.size % kBlockFields != 0)
+        return error(Kind::malformed, "its blocks are cut short");
+    const auto& blocks = fields[4].via.array;
+    for (std::uint32_t i = 0; i < blocks.size; i += kBlockFields)
+        snapshot.blocks.push_back(as_block(blocks.ptr + i));
+    return snapshot;
+}
 
 }  // namespace
 
-std::string encode(const Snapshot& s) {
+std::string encode(const Snapshot& snapshot) {
     msgpack::sbuffer buffer;
-    msgpack::packer<msgpack::sbuffer> p(buffer);
-    p.pack_array(5);
-    p.pack(kSnapshotVersion);
-    p.pack(s.space);
-    p.pack(s.next);
-    p.pack(s.last_ts);
-    p.pack_array(static_cast<std::uint32_t>(s.blocks.size() * kFields));
-    for (const auto& b : s.blocks) {
-        p.pack(b.hash);
-        p.pack(b.parent);
-        p.pack(b.key);
-        p.pack(b.tokens);
-        p.pack(b.length);
+    msgpack::packer<msgpack::sbuffer> packer(buffer);
+    packer.pack_array(kSnapshotFields);
+    packer.pack(kSnapshotVersion);
+    packer.pack(snapshot.space);
+    packer.pack(snapshot.next_sequence);
+    packer.pack(snapshot.last_timestamp);
+    packer.pack_array(static_cast<std::uint32_t>(snapshot.blocks.size() * kBlockFields));
+    for (const auto& block : snapshot.blocks) {
+        packer.pack(block.hash);
+        packer.pack(block.parent_key);
+        packer.pack(block.key);
+        packer.pack(block.tokens);
+        packer.pack(block.length);
     }
     return encode_sequence(XXH3_64bits(buffer.data(), buffer.size())) +
            std::string(buffer.data(), buffer.size());
 }
 
-tl::expected<Snapshot, std::string> decode_snapshot(std::string_view bytes, std::size_t blocks_most) {
-    const auto bad = [](const char* why) { return tl::unexpected(std::string("snapshot: ") + why); };
-    if (bytes.size() < 8 || bytes.size() > kHeadBytes + blocks_most * kBlockBytes)
-        return bad("of a wrong size");
-    const auto sum = decode_sequence(bytes.substr(0, 8));
-    bytes.remove_prefix(8);
-    if (*sum != XXH3_64bits(bytes.data(), bytes.size())) return bad("damaged");
+tl::expected<Snapshot, DecodeError> decode_snapshot(std::string_view bytes, std::size_t max_blocks) {
+    if (bytes.size() < kChecksumBytes) return error(Kind::malformed, "of a wrong size");
+    if (bytes.size() > kMaxHeaderBytes + max_blocks * kMaxBlockBytes)
+        return error(Kind::too_large, "of a wrong size");
+    const auto checksum = decode_sequence(bytes.substr(0, kChecksumBytes));
+    bytes.remove_prefix(kChecksumBytes);
+    if (*checksum != XXH3_64bits(bytes.data(), bytes.size())) return error(Kind::damaged, "damaged");
     try {
         std::size_t used = 0;
-        const std::size_t most = std::max<std::size_t>(blocks_most * kFields, 5);
-        const msgpack::unpack_limit bounds(most, 0, kHeadBytes, 0, 0, 3);
+        const auto max_array = std::max<std::size_t>(max_blocks * kBlockFields, kSnapshotFields);
+        const msgpack::unpack_limit bounds(max_array, 0, kMaxHeaderBytes, 0, 0, kMaxDepth);
         const auto handle = msgpack::unpack(bytes.data(), bytes.size(), used, nullptr, nullptr, bounds);
-        const auto& o = handle.get();
-        if (used != bytes.size() || o.type != msgpack::type::ARRAY || o.via.array.size != 5)
-            return bad("not one of ours");
-        const auto* top = o.via.array.ptr;
-        if (top[0].as<std::uint64_t>() != kSnapshotVersion) return bad("of another version");
-        Snapshot out;
-        out.space = top[1].as<std::string>();
-        out.next = top[2].as<std::uint64_t>();
-        out.last_ts = top[3].as<double>();
-        if (out.next == 0 || !std::isfinite(out.last_ts)) return bad("nothing was known then");
-        if (top[4].type != msgpack::type::ARRAY || top[4].via.array.size % kFields != 0)
-            return bad("its blocks are cut short");
-        const auto& all = top[4].via.array;
-        for (std::uint32_t i = 0; i < all.size; i += kFields) {
-            Index::KeptBlock b;
-            b.hash = all.ptr[i].as<std::uint64_t>();
-            b.parent = all.ptr[i + 1].as<std::uint64_t>();
-            b.key = all.ptr[i + 2].as<std::uint64_t>();
-            b.tokens = all.ptr[i + 3].as<std::uint32_t>();
-            b.length = all.ptr[i + 4].as<std::uint16_t>();
-            out.blocks.push_back(b);
-        }
-        return out;
-    } catch (const std::exception& error) {  // the library's: no msgpack, over a limit, or of another type
-        return bad(error.what());
+        if (used != bytes.size()) return error(Kind::malformed, "not one of ours");
+        return as_snapshot(handle.get());
+    } catch (const std::exception& exception) {  // msgpack's: not msgpack, over a limit, or of another type
+        return error(Kind::malformed, exception.what());
     }
 }
 
--- a/src/prefix/snapshot.hpp
+++ b/src/prefix/snapshot.hpp
@@ -1,6 +1,6 @@
-// What is known of one server's kept text, as bytes to be stored: a checksum, then a msgpack array of
-// version, space, the next sequence awaited, the time of the last batch, and the blocks. Bytes in, values
-// out; no I/O.
+// The stored form of what is known of one server's prefix cache: a checksum of 8 bytes (XXH3 of the rest,
+// big-endian), then the msgpack array [version, space, next sequence, timestamp of the last batch, blocks],
+// where `blocks` is one flat array of five fields for each block.
 #pragma once
 
 #include <string>
@@ -8,7 +8,8 @@
 #include <tl/expected.hpp>
 #include <vector>
 
-#include "prefix/index.hpp"
+#include "prefix/cache_events.hpp"
+#include "prefix/prefix_index.hpp"
 
 namespace chalksail::prefix {
 
@@ -16,13 +17,13 @@
 
 struct Snapshot {
     std::string space;
-    std::uint64_t next = 0;  // at least 1
-    double last_ts = 0;
-    std::vector<Index::KeptBlock> blocks;  // oldest first
+    std::uint64_t next_sequence = 0;  // at least 1
+    double last_timestamp = 0;
+    std::vector<PrefixIndex::BlockRecord> blocks;  // oldest first
 };
 [[nodiscard]] std::string encode(const Snapshot& snapshot);
-// Errors: damaged, of another version, more than `blocks_most` blocks, or nonsense.
-[[nodiscard]] tl::expected<Snapshot, std::string> decode_snapshot(std::string_view bytes,
-                                                                  std::size_t blocks_most);
+// Rejects what is damaged, of another version, inconsistent, or of more than `max_blocks` blocks.
+[[nodiscard]] tl::expected<Snapshot, DecodeError> decode_snapshot(std::string_view bytes,
+                                                                  std::size_t max_blocks);
 
 }  // namespace chalksail::prefix
--- a/tests/core/prefix_test.cpp
+++ b/tests/core/prefix_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "core/driver.hpp"
-#include "prefix/world.hpp"
+#include "prefix/cache_fixture.hpp"
 
 namespace chalksail::core::testing {
 namespace {
@@ -182,7 +182,7 @@
     EXPECT_EQ(asked[0].from, 1U);
     ASSERT_EQ(edge.next_wake(), now + 500ms);
     (void)edge.step(now + 500ms, {});
-    EXPECT_EQ(edge.gauges().prefixes.unfilled, 1U);
+    EXPECT_EQ(edge.gauges().prefixes.unfilled_gaps, 1U);
     // The rest of that replay comes too late, and changes nothing.
     (void)edge.step(now + 600ms, {holds("r1", 1, 2, true), CacheReplayEnded{"r1"}});
     EXPECT_TRUE(of<ReplayCacheEvents>(edge.step(now + 600ms, {holds("r1", 4, 5)})).empty());
@@ -205,7 +205,7 @@
     d.list({publishes("r1"), listed("w1", "writer")});
     d.give({holds("nobody", 0, 1), CacheEventMessage{"r1", 0, "\xc1", false}, CacheReplayEnded{"r1"},
             CacheReplayEnded{"nobody"}});
-    EXPECT_EQ(d.edge.gauges().prefixes.bad_messages, 1U);
+    EXPECT_EQ(d.edge.gauges().prefixes.malformed_messages, 1U);
     EXPECT_EQ(read_at(d, 1), "r1");
     Driver plain;  // no kind publishes: events are not even looked at
     plain.usual_list();
--- a/tests/fuzz/prefix_fuzz.cpp
+++ b/tests/fuzz/prefix_fuzz.cpp
@@ -1,5 +1,5 @@
 // Bytes of an engine into the prefix index: any payload, any order of sequences. Nothing may break, and after
-// a forget nothing may be left.
+// the engines are removed nothing may be left.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -8,8 +8,8 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-#include "prefix/feed.hpp"
-#include "prefix/index.hpp"
+#include "prefix/event_stream.hpp"
+#include "prefix/prefix_index.hpp"
 #include "prefix/snapshot.hpp"
 
 using namespace chalksail::prefix;
@@ -21,18 +21,18 @@
         if (token % 5 == 0) out += "and more";
         return true;
     };
-    Index index(text, {4, 50, 64, 256});
+    PrefixIndex index(text, {4, 50, 64, 256});
     const auto a = index.add("m"), b = index.add("m");
-    Feed feed(8);
+    EventStream stream(8);
     std::string_view rest(reinterpret_cast<const char*>(data), size);
     // A stored snapshot: as it is, and with its checksum made good so that what is behind it is reached.
     (void)decode_snapshot(rest, 50);
     const std::string summed = encode_sequence(XXH3_64bits(rest.data(), rest.size())) + std::string(rest);
     if (const auto snapshot = decode_snapshot(summed, 50)) {
-        Index restored(text, {4, 50, 64, 256});
+        PrefixIndex restored(text, {4, 50, 64, 256});
         const auto e = restored.add(snapshot->space);
         restored.restore(e, snapshot->blocks);
-        (void)restored.held(snapshot->space, "abcabc");
+        (void)restored.find(snapshot->space, "abcabc");
         if (!decode_snapshot(encode(*snapshot), 50)) std::abort();
         restored.remove(e);
         if (restored.blocks() != 0 || restored.nodes() != 0) std::abort();
@@ -44,22 +44,22 @@
         rest.remove_prefix(2 + length);
         auto batch = decode(payload);
         if (!batch) {
-            if (batch.error().empty()) std::abort();
+            if (batch.error().text.empty()) std::abort();
             continue;
         }
         // What comes out goes in again, the same.
         const auto again = decode(encode(*batch));
         if (!again || again->events.size() != batch->events.size()) std::abort();
         for (const auto& e : batch->events) index.apply(b, e);
-        Feed::Act act;
-        if (what < 200) act = feed.published(what % 16, std::move(*batch));
-        else if (what < 240) act = feed.replayed(what % 16, std::move(*batch));
-        else if (what < 250) act = feed.replay_ended();
-        else act = feed.restarted();
-        if (act.forget) index.forget(a);
-        for (const auto& one : act.apply)
+        EventStream::Update update;
+        if (what < 200) update = stream.on_published(what % 16, std::move(*batch));
+        else if (what < 240) update = stream.on_replayed(what % 16, std::move(*batch));
+        else if (what < 250) update = stream.on_replay_ended();
+        else update = stream.on_restart();
+        if (update.clear) index.clear(a);
+        for (const auto& one : update.apply)
             for (const auto& e : one.events) index.apply(a, e);
-        for (const auto& h : index.held("m", "abcabcabcaand moreb"))
+        for (const auto& h : index.find("m", "abcabcabcaand moreb"))
             if (h.tokens == 0 || h.bytes > 19) std::abort();
     }
     index.remove(a);
--- a/tests/lab/compare_test.cpp
+++ b/tests/lab/compare_test.cpp
@@ -81,7 +81,7 @@
     const auto& f = day.figures();
     EXPECT_GT(f.cache_lost, 100U);
     EXPECT_GT(f.prefixes.gaps, 50U);
-    EXPECT_EQ(f.prefixes.unfilled, 0U);
+    EXPECT_EQ(f.prefixes.unfilled_gaps, 0U);
     EXPECT_EQ(f.prefixes.trusted, 3U * 12U);
 }
 
@@ -93,7 +93,7 @@
     EXPECT_EQ(v.breaches.size(), 0U);
     EXPECT_EQ(v.asked, v.served + v.refused + v.failed + v.gone);
     EXPECT_GT(v.served, v.asked * 9 / 10);
-    EXPECT_GT(day.figures().prefixes.unfilled, 50U);
+    EXPECT_GT(day.figures().prefixes.unfilled_gaps, 50U);
 }
 
 TEST(CacheEvents, ReadLessAnewThanTheGuessAndThanRandom) {
--- a/tests/lab/engine_model_test.cpp
+++ b/tests/lab/engine_model_test.cpp
@@ -3,7 +3,7 @@
 
 #include "engine/protocol.hpp"
 #include "model/engine.hpp"
-#include "prefix/index.hpp"
+#include "prefix/prefix_index.hpp"
 
 namespace chalksail::lab {
 namespace {
@@ -89,7 +89,7 @@
     spec.kept_tokens = 40 * kBlockTokens;
     spec.read_pace = 1e6;
     EngineModel e(spec);
-    prefix::Index index(engine::four_bytes_of);
+    prefix::PrefixIndex index(engine::four_bytes_of);
     const auto place = index.add("m");
     Time now = kStart;
     (void)e.advance(now);
@@ -106,7 +106,7 @@
         j.blocks = prefix_blocks(text);
         j.prompt_tokens = 1000;
         std::uint32_t claimed = 0;
-        for (const auto& h : index.held("m", text)) claimed = h.tokens;
+        for (const auto& h : index.find("m", text)) claimed = h.tokens;
         ASSERT_EQ(e.submit(now, j, 0.5), Verdict::taken);
         now += 1s;
         for (const auto& p : e.advance(now))
--- a/tests/prefix/events_test.cpp
+++ b/tests/prefix/cache_events_test.cpp
@@ -1,5 +1,5 @@
-// vLLM's event batches from bytes: what is taken, and what is refused with a word on why.
-#include "prefix/events.hpp"
+// vLLM's event batches from bytes: what is decoded, and what is rejected with which error.
+#include "prefix/cache_events.hpp"
 
 #include <gtest/gtest.h>
 
@@ -8,28 +8,28 @@
 
 using namespace std::string_literals;
 
-TEST(Events, ThereAndBack) {
+TEST(CacheEvents, RoundTrip) {
     Batch batch;
-    batch.ts = 12.5;
+    batch.timestamp = 12.5;
     batch.events.emplace_back(BlockStored{{1, 0xfedcba9876543210}, 7, {1, 2, 3, 4}, 2, false});
     batch.events.emplace_back(BlockStored{{3}, std::nullopt, {9}, 1, true});
     batch.events.emplace_back(BlockRemoved{{1}});
     batch.events.emplace_back(AllBlocksCleared{});
     const auto out = decode(encode(batch));
-    ASSERT_TRUE(out) << out.error();
-    EXPECT_EQ(out->ts, 12.5);
+    ASSERT_TRUE(out) << out.error().text;
+    EXPECT_EQ(out->timestamp, 12.5);
     ASSERT_EQ(out->events.size(), 4U);
     const auto& s = std::get<BlockStored>(out->events[0]);
     EXPECT_EQ(s.blocks, (std::vector<EngineHash>{1, 0xfedcba9876543210}));
     EXPECT_EQ(s.parent, 7U);
     EXPECT_EQ(s.tokens, (std::vector<Token>{1, 2, 3, 4}));
-    EXPECT_TRUE(std::get<BlockStored>(out->events[1]).adapted);
+    EXPECT_TRUE(std::get<BlockStored>(out->events[1]).uses_adapter);
     EXPECT_FALSE(std::get<BlockStored>(out->events[1]).parent);
     EXPECT_EQ(std::get<BlockRemoved>(out->events[2]).blocks, std::vector<EngineHash>{1});
 }
 
 // Bytes as vLLM's encoder writes them: array-like structs, byte-string hashes, fields of later versions.
-TEST(Events, BytesOfTheirOwnEncoder) {
+TEST(CacheEvents, DecodesTheBytesOfVllmsEncoder) {
     const std::string bytes =
         "\x93\xcb\x40\x29\x00\x00\x00\x00\x00\x00"  // [12.5,
         "\x92"                                      // [
@@ -44,13 +44,13 @@
         "Surprises\x01"  //  ["Surprises", 1]
         "\x00"s;         // ], 0]
     const auto out = decode(bytes);
-    ASSERT_TRUE(out) << out.error();
+    ASSERT_TRUE(out) << out.error().text;
     ASSERT_EQ(out->events.size(), 1U);
-    EXPECT_EQ(out->unknown, 1U);
+    EXPECT_EQ(out->unknown_events, 1U);
     EXPECT_EQ(std::get<BlockStored>(out->events[0]).tokens, (std::vector<Token>{5, 6}));
 }
 
-TEST(Events, WrongBytesAreRefusedWhole) {
+TEST(CacheEvents, RejectsMalformedBatches) {
     const std::pair<std::string, std::string> all[] = {
         {"", "batch"},
         {"\xc1", "batch"},      // never used in msgpack
@@ -81,17 +81,20 @@
     for (const auto& [bytes, word] : all) {
         const auto out = decode(bytes);
         ASSERT_FALSE(out) << word;
-        EXPECT_NE(out.error().find(word), std::string::npos) << out.error() << " for " << word;
+        EXPECT_NE(out.error().text.find(word), std::string::npos) << out.error().text << " for " << word;
+        EXPECT_EQ(out.error().kind, DecodeError::Kind::malformed) << word;
     }
     DecodeLimits tight;
-    tight.bytes = 10;
-    EXPECT_FALSE(decode(encode({1, {BlockRemoved{{1, 2, 3}}}, 0}), tight));
+    tight.max_bytes = 10;
+    EXPECT_EQ(decode(encode({1, {BlockRemoved{{1, 2, 3}}}, 0}), tight).error().kind,
+              DecodeError::Kind::too_large);
     tight = {};
-    tight.events = 1;
-    EXPECT_FALSE(decode(encode({1, {AllBlocksCleared{}, AllBlocksCleared{}}, 0}), tight));
+    tight.max_events = 1;
+    EXPECT_EQ(decode(encode({1, {AllBlocksCleared{}, AllBlocksCleared{}}, 0}), tight).error().kind,
+              DecodeError::Kind::too_large);
 }
 
-TEST(Events, Sequences) {
+TEST(CacheEvents, Sequences) {
     EXPECT_EQ(decode_sequence(encode_sequence(0x0102030405060708)), 0x0102030405060708U);
     EXPECT_EQ(encode_sequence(1), "\0\0\0\0\0\0\0\1"s);
     EXPECT_FALSE(decode_sequence("short"));
--- a/tests/prefix/world.hpp
+++ b/tests/prefix/cache_fixture.hpp
@@ -1,4 +1,4 @@
-// Texts and events for tests of the prefix index: a token is four bytes of text, a block four tokens.
+// Texts and cache events for tests: a token is four bytes of text, a block four tokens.
 #pragma once
 
 #include <map>
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "prefix/index.hpp"
+#include "prefix/prefix_index.hpp"
 
 namespace chalksail::prefix::testing {
 
@@ -27,7 +27,7 @@
     }
     return out;
 }
-// All whole blocks of this text, under hashes that are the engine's own.
+// All whole blocks of this text, under hashes of the engine's own.
 inline BlockStored stored(std::string_view text, EngineHash salt, std::size_t from = 0) {
     BlockStored out;
     out.block_size = kTokens;
@@ -40,9 +40,9 @@
     out.tokens = tokens_of(text.substr(from, whole - from));
     return out;
 }
-inline std::uint32_t tokens_held(const Index& index, Index::Engine engine, std::string_view text,
-                                 std::string_view space = "m") {
-    for (const auto& h : index.held(space, text))
+inline std::uint32_t tokens_cached(const PrefixIndex& index, EngineId engine, std::string_view text,
+                                   std::string_view space = "m") {
+    for (const auto& h : index.find(space, text))
         if (h.engine == engine) return h.tokens;
     return 0;
 }
--- a/tests/prefix/snapshot_test.cpp
+++ b/tests/prefix/snapshot_test.cpp
@@ -1,10 +1,10 @@
-// What outlives a gateway, and what it takes to be believed again.
+// Snapshots: what survives a restart of the gateway, and what verifies it.
 #include "prefix/snapshot.hpp"
 
 #include <gtest/gtest.h>
 
+#include "prefix/cache_fixture.hpp"
 #include "prefix/reported_caches.hpp"
-#include "prefix/world.hpp"
 
 namespace chalksail::prefix::testing {
 namespace {
@@ -15,89 +15,94 @@
 std::string batch(double ts, std::string_view text, EngineHash first) {
     return encode({ts, {stored(text, first)}, 0});
 }
-double claimed(const ReportedCaches& k, std::string_view text) {
-    const auto all = k.cached_prefixes("m", text);
+double reported_tokens(const ReportedCaches& caches, std::string_view text) {
+    const auto all = caches.cached_prefixes("m", text);
     return all.empty() ? 0 : all[0].tokens;
 }
-// A gateway that has heard two batches of `a`, at times 10 and 11.
+// A gateway that has received two batches of `a`, at times 10 and 11.
 std::string snapshot_of_two() {
-    ReportedCaches k(four_bytes);
-    k.add("a", "m", {});
-    EXPECT_FALSE(k.snapshot("a"));  // nothing is known
-    (void)k.on_message("a", 0, batch(10, kSnapshotText, 1), false);
-    (void)k.on_message("a", 1, batch(11, kOther, 50), false);
-    EXPECT_FALSE(k.snapshot("b"));
-    return *k.snapshot("a");
+    ReportedCaches caches(four_bytes);
+    caches.add("a", "m", {});
+    EXPECT_FALSE(caches.snapshot("a"));  // nothing is known
+    (void)caches.on_message("a", 0, batch(10, kSnapshotText, 1), false);
+    (void)caches.on_message("a", 1, batch(11, kOther, 50), false);
+    EXPECT_FALSE(caches.snapshot("b"));
+    return *caches.snapshot("a");
 }
 struct Restarted {
-    Restarted() : k(four_bytes) {
-        k.add("a", "m", {});
-        const auto from = k.restore("a", snapshot_of_two());
-        EXPECT_EQ(from.value(), 1U);  // the last one that was applied
+    Restarted() : caches(four_bytes) {
+        caches.add("a", "m", {});
+        const auto from = caches.restore("a", snapshot_of_two());
+        EXPECT_EQ(from.value(), 1U);  // the last batch that was applied
     }
-    ReportedCaches k;
+    ReportedCaches caches;
 };
 
-TEST(Snapshot, IsUsedOnceTheEngineShowsTheSameLastBatch) {
-    Restarted r;
-    EXPECT_FALSE(r.k.trusted("a"));
-    (void)r.k.on_message("a", 3, batch(13, kSnapshotText.substr(0, kBlock), 90),
-                         false);  // published meanwhile
-    EXPECT_FALSE(r.k.trusted("a"));
-    // What an unproved snapshot claims is not the engine's word, and costs it no trust.
-    for (int i = 0; i < 20; ++i) r.k.observed("a", {20, 16, 0, std::chrono::milliseconds(10)});
-    (void)r.k.on_message("a", 1, batch(11, kOther, 50), true);
-    (void)r.k.on_message("a", 2, encode({12, {BlockRemoved{{stored(kOther, 50).blocks[3]}}}, 0}), true);
-    r.k.replay_ended("a");
-    EXPECT_TRUE(r.k.trusted("a"));
-    EXPECT_EQ(claimed(r.k, kSnapshotText), 4 * kTokens);
-    EXPECT_EQ(claimed(r.k, kOther), 3 * kTokens);  // what went while this gateway was away
-    EXPECT_EQ(r.k.counts().proved, 1U);
-    EXPECT_EQ(r.k.counts().gaps, 0U);
+TEST(Snapshot, IsUsedOnceTheEngineReplaysTheSameLastBatch) {
+    Restarted restarted;
+    EXPECT_FALSE(restarted.caches.trusted("a"));
+    (void)restarted.caches.on_message("a", 3, batch(13, kSnapshotText.substr(0, kBlock), 90),
+                                      false);  // published meanwhile
+    EXPECT_FALSE(restarted.caches.trusted("a"));
+    // An unverified snapshot is no report of the engine, and costs it no trust.
+    for (int i = 0; i < 20; ++i) restarted.caches.observed("a", {20, 16, 0, std::chrono::milliseconds(10)});
+    (void)restarted.caches.on_message("a", 1, batch(11, kOther, 50), true);
+    (void)restarted.caches.on_message("a", 2, encode({12, {BlockRemoved{{stored(kOther, 50).blocks[3]}}}, 0}),
+                                      true);
+    restarted.caches.replay_ended("a");
+    EXPECT_TRUE(restarted.caches.trusted("a"));
+    EXPECT_EQ(reported_tokens(restarted.caches, kSnapshotText), 4 * kTokens);
+    EXPECT_EQ(reported_tokens(restarted.caches, kOther),
+              3 * kTokens);  // one was removed while this gateway was down
+    EXPECT_EQ(restarted.caches.counts().snapshots_verified, 1U);
+    EXPECT_EQ(restarted.caches.counts().gaps, 0U);
 }
 
-// An engine that restarted while the gateway was away, and whose numbers have come as far by now.
-TEST(Snapshot, AnotherProcessWithTheSameNumbersIsFoundOut) {
-    Restarted r;
-    (void)r.k.on_message("a", 1, batch(20, kOther, 50), true);
-    EXPECT_FALSE(r.k.trusted("a"));
-    EXPECT_EQ(claimed(r.k, kSnapshotText), 0);
-    EXPECT_EQ(r.k.counts().blocks, 0U);
-    EXPECT_EQ(r.k.counts().restarts, 1U);
-    // Its past is asked for from the beginning with the next word that comes.
-    EXPECT_EQ(r.k.on_message("a", 2, batch(21, kSnapshotText, 1), false), 0U);
+// An engine that restarted while the gateway was down, and whose numbers have come as far by now.
+TEST(Snapshot, DetectsAnotherProcessWithTheSameNumbers) {
+    Restarted restarted;
+    (void)restarted.caches.on_message("a", 1, batch(20, kOther, 50), true);
+    EXPECT_FALSE(restarted.caches.trusted("a"));
+    EXPECT_EQ(reported_tokens(restarted.caches, kSnapshotText), 0);
+    EXPECT_EQ(restarted.caches.counts().blocks, 0U);
+    EXPECT_EQ(restarted.caches.counts().restarts, 1U);
+    // Its next batch requests a replay from the beginning.
+    EXPECT_EQ(restarted.caches.on_message("a", 2, batch(21, kSnapshotText, 1), false), 0U);
 }
 
-TEST(Snapshot, PastThatIsGoneProvesNothing) {
-    Restarted r;
-    (void)r.k.on_message("a", 7, batch(17, kSnapshotText.substr(0, kBlock), 90), true);
-    r.k.replay_ended("a");
-    EXPECT_FALSE(r.k.trusted("a"));
-    EXPECT_EQ(r.k.counts().blocks, 0U);
-    EXPECT_EQ(r.k.counts().unproved, 1U);
+TEST(Snapshot, IsDiscardedIfTheReplayBeginsLater) {
+    Restarted restarted;
+    (void)restarted.caches.on_message("a", 7, batch(17, kSnapshotText.substr(0, kBlock), 90), true);
+    restarted.caches.replay_ended("a");
+    EXPECT_FALSE(restarted.caches.trusted("a"));
+    EXPECT_EQ(restarted.caches.counts().blocks, 0U);
+    EXPECT_EQ(restarted.caches.counts().snapshots_discarded, 1U);
 }
 
-TEST(Snapshot, LowerNumberThatIsNewerIsAnotherProcess) {
-    Restarted r;
-    (void)r.k.on_message("a", 0, batch(30, kSnapshotText.substr(0, kBlock), 90), false);
-    EXPECT_EQ(claimed(r.k, kSnapshotText), kTokens);
-    EXPECT_EQ(r.k.counts().restarts, 1U);
+TEST(Snapshot, NewerBatchWithALowerNumberIsAnotherProcess) {
+    Restarted restarted;
+    (void)restarted.caches.on_message("a", 0, batch(30, kSnapshotText.substr(0, kBlock), 90), false);
+    EXPECT_EQ(reported_tokens(restarted.caches, kSnapshotText), kTokens);
+    EXPECT_EQ(restarted.caches.counts().restarts, 1U);
 }
 
-TEST(Snapshot, IsNotTakenForAServerThatHasBeenHeardOrIsOfAnotherKind) {
-    ReportedCaches k(four_bytes);
-    EXPECT_EQ(k.restore("a", snapshot_of_two()).error(), "not listed");
-    k.add("a", "other", {});
-    EXPECT_NE(k.restore("a", snapshot_of_two()).error().find("another kind"), std::string::npos);
-    (void)k.on_message("a", 0, batch(1, kSnapshotText, 1), false);
-    EXPECT_NE(k.restore("a", snapshot_of_two()).error().find("heard already"), std::string::npos);
+TEST(Snapshot, IsRejectedForOtherServers) {
+    ReportedCaches caches(four_bytes);
+    EXPECT_EQ(caches.restore("a", snapshot_of_two()).error().kind, RestoreError::Kind::unlisted_server);
+    EXPECT_EQ(caches.restore("a", snapshot_of_two()).error().text, "not listed");
+    caches.add("a", "other", {});
+    EXPECT_EQ(caches.restore("a", snapshot_of_two()).error().kind, RestoreError::Kind::other_space);
+    EXPECT_NE(caches.restore("a", snapshot_of_two()).error().text.find("another kind"), std::string::npos);
+    (void)caches.on_message("a", 0, batch(1, kSnapshotText, 1), false);
+    EXPECT_EQ(caches.restore("a", snapshot_of_two()).error().kind, RestoreError::Kind::already_reported);
+    EXPECT_NE(caches.restore("a", snapshot_of_two()).error().text.find("heard already"), std::string::npos);
 }
 
-TEST(Snapshot, DamagedBytesAreRefused) {
+TEST(Snapshot, DamagedBytesAreRejected) {
     const auto good = snapshot_of_two();
     ASSERT_TRUE(decode_snapshot(good, 100));
     EXPECT_EQ(decode_snapshot(good, 100)->blocks.size(), 8U);
-    EXPECT_FALSE(decode_snapshot(good, 2));  // more than this gateway keeps of an engine
+    EXPECT_FALSE(decode_snapshot(good, 2));  // more than this gateway stores of an engine
     for (std::size_t i = 0; i < good.size(); ++i) {
         auto bad = good;
         bad[i] = static_cast<char>(bad[i] ^ 0x10);
@@ -107,9 +112,9 @@
     EXPECT_FALSE(decode_snapshot(encode(Snapshot{"m", 0, 1, {}}), 100));
 }
 
-// The same index comes out, whatever was stored and removed before; orphans are left out.
-TEST(Snapshot, RestoredIndexAnswersAsTheOneThatWasKept) {
-    Index before(four_bytes), after(four_bytes);
+// The restored index is the same, whatever was stored and removed before; orphans are left out.
+TEST(Snapshot, RestoredIndexFindsTheSamePrefixes) {
+    PrefixIndex before(four_bytes), after(four_bytes);
     const auto a = before.add("m"), b = before.add("m");
     before.apply(a, stored(kSnapshotText, 1));
     before.apply(a, stored(kOther, 50));
@@ -118,8 +123,8 @@
                                                                     // parent left at the engine
     const auto c = after.add("m");
     after.restore(c, before.blocks_of(a));
-    const auto tokens = [](const Index& i, Index::Engine e, std::string_view text) {
-        for (const auto& h : i.held("m", text))
+    const auto tokens = [](const PrefixIndex& i, EngineId e, std::string_view text) {
+        for (const auto& h : i.find("m", text))
             if (h.engine == e) return h.tokens;
         return 0U;
     };
