--- a/src/core/platform_protocol.cpp
+++ b/src/core/platform_protocol.cpp
@@ -27,7 +27,7 @@
         out.to_client = std::move(events.bytes);
         out.events = events.count;
         // Its end is the answer's last chunk: a stream may still be spoilt after its [DONE].
-        if (reader_->spoilt()) {
+        if (reader_->malformed()) {
             out.state = State::spoilt;
             out.detail = "no event, or one too large";
         }
@@ -167,7 +167,7 @@
     out.shared_tokens = told->shared_tokens;
     out.max_output = told->max_output;
     out.retry = told->retry;
-    out.again = told->again;
+    out.again = told->resumes_stream;
     out.protocol_session = std::make_unique<Request>(*this, std::move(told->id),
                                                      std::move(told->idempotency_key), std::move(request));
     return out;
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -116,11 +116,11 @@
     // Guards against going back, and against missing what came in between: changes follow each other upwards.
     // Where they don't, discovery has started anew under this watch, and only the whole list tells what
     // holds.
-    const bool next = update->whole || !version_ || update->generation > *version_;
-    if (!next && update->instances.empty()) return;
+    const bool next = update->complete || !version_ || update->generation > *version_;
+    if (!next && update->endpoints.empty()) return;
     if (!next) return give_up("told changes that do not follow what it told before");
     version_ = update->generation;
-    take(*update, update->whole ? EndpointUpdateKind::snapshot : EndpointUpdateKind::delta);
+    take(*update, update->complete ? EndpointUpdateKind::snapshot : EndpointUpdateKind::delta);
 }
 
 void DiscoveryWatch::on_done(UpstreamPool::Call call) {
@@ -137,10 +137,10 @@
 
 void DiscoveryWatch::take(const platform::EndpointListUpdate& update, EndpointUpdateKind scope) {
     look_at_clocks(uv_now_time());
-    if (update.whole) start_times_.forget_all_but(update.instances);
+    if (update.complete) start_times_.forget_all_but(update.endpoints);
     membership::EndpointList list;
     list.kind = scope;
-    for (const auto& i : update.instances) {
+    for (const auto& i : update.endpoints) {
         membership::EndpointConfig s;
         s.endpoint = {{i.id},
                       i.zone,
--- a/src/platform/answer.cpp
+++ b/src/platform/answer.cpp
@@ -7,95 +7,108 @@
 namespace chalksail::platform {
 namespace {
 
-constexpr int kReadDone = 202;
-constexpr int kStateGone = 410;
+constexpr int kOk = 200;
+constexpr int kPrefilled = 202;
+constexpr int kStateMissing = 410;
+constexpr int kUnavailable = 503;
+constexpr int kGatewayTimeout = 504;
+constexpr double kMaxTokens = 1e12;  // larger counts are nonsense
 
-double number(const json::Value* value) {
-    return value != nullptr && value->IsNumber() && value->GetDouble() >= 0 && value->GetDouble() < 1e12
-               ? value->GetDouble()
-               : 0;
+// 0 for anything that is no token count.
+double token_count(const json::Value* value) {
+    if (value == nullptr || !value->IsNumber()) return 0;
+    const double count = value->GetDouble();
+    return count >= 0 && count < kMaxTokens ? count : 0;
+}
+
+Judgement judge_response(const Facts& facts) {
+    if (facts.not_run && facts.status == kStateMissing) return {AttemptOutcome::at_capacity, true};
+    if (facts.not_run && (facts.status == kUnavailable || facts.status == kGatewayTimeout))
+        return {AttemptOutcome::at_capacity};
+    // A response before the request's last byte was sent: an incomplete request was not processed.
+    if (!facts.written) return {AttemptOutcome::connect_failed};
+    if (facts.prefill && facts.status == kPrefilled && facts.complete) return {AttemptOutcome::prefilled};
+    if (facts.prefill || facts.status != kOk) return {AttemptOutcome::error};
+    if (facts.complete) return {AttemptOutcome::ok};
+    return {facts.started ? AttemptOutcome::reset : AttemptOutcome::error};
 }
 
 }  // namespace
 
 std::string lease_target(std::string_view id) { return "/kv/leases/" + std::string(id); }
 
-Judgement judge(const Facts& f) {
-    switch (f.ended) {
+Judgement judge(const Facts& facts) {
+    // What was not written completely was not processed, whatever happened then.
+    const auto if_written = [&](AttemptOutcome outcome) {
+        return Judgement{facts.written ? outcome : AttemptOutcome::connect_failed};
+    };
+    switch (facts.ended) {
         case Ended::answered: break;
         case Ended::no_connection:
-        case Ended::broke: return {f.written ? AttemptOutcome::reset : AttemptOutcome::connect_failed};
-        case Ended::malformed: return {f.started ? AttemptOutcome::reset : AttemptOutcome::error};
-        case Ended::timed_out: return {f.written ? AttemptOutcome::timeout : AttemptOutcome::connect_failed};
-        case Ended::cancelled:
-            return {f.written ? AttemptOutcome::cancelled : AttemptOutcome::connect_failed};
-    }
-    if (f.not_run && f.status == kStateGone) return {AttemptOutcome::at_capacity, true};
-    if (f.not_run && (f.status == 503 || f.status == 504)) return {AttemptOutcome::at_capacity};
-    // An answer before the request's last byte has gone out: what was not whole was not begun.
-    if (!f.written) return {AttemptOutcome::connect_failed};
-    if (f.prefill && f.status == kReadDone && f.complete) return {AttemptOutcome::prefilled};
-    if (!f.prefill && f.status == 200) {
-        if (f.complete) return {AttemptOutcome::ok};
-        return {f.started ? AttemptOutcome::reset : AttemptOutcome::error};
+        case Ended::broke: return if_written(AttemptOutcome::reset);
+        case Ended::malformed: return {facts.started ? AttemptOutcome::reset : AttemptOutcome::error};
+        case Ended::timed_out: return if_written(AttemptOutcome::timeout);
+        case Ended::cancelled: return if_written(AttemptOutcome::cancelled);
     }
-    return {AttemptOutcome::error};
+    return judge_response(facts);
 }
 
 EventReader::Events EventReader::feed(std::string_view bytes) {
-    Events out;
-    if (spoilt_) return out;
-    rest_ += bytes;
+    constexpr std::string_view kSeparator = "\n\n";
+    Events events;
+    if (malformed_) return events;
+    partial_ += bytes;
     std::size_t begin = 0;
     for (;;) {
-        const auto end = rest_.find("\n\n", begin);
+        const auto end = partial_.find(kSeparator, begin);
         if (end == std::string::npos) break;
-        look_at(std::string_view(rest_).substr(begin, end - begin));
-        if (spoilt_) break;
-        begin = end + 2;
-        out.count += 1;
+        if (!inspect(std::string_view(partial_).substr(begin, end - begin))) {
+            malformed_ = true;
+            break;
+        }
+        begin = end + kSeparator.size();
+        events.count += 1;
     }
     if (begin > 0) {
-        out.bytes = rest_.substr(0, begin);
-        rest_.erase(0, begin);
+        events.bytes = partial_.substr(0, begin);
+        partial_.erase(0, begin);
     }
-    if (rest_.size() > most_) spoilt_ = true;
-    if (spoilt_) std::string().swap(rest_);
-    return out;
+    if (partial_.size() > max_bytes_) malformed_ = true;
+    if (malformed_) std::string().swap(partial_);
+    return events;
 }
 
-void EventReader::look_at(std::string_view event) {
-    while (!event.empty() && (event.front() == '\n' || event.front() == '\r')) event.remove_prefix(1);
+// False if the event is malformed.
+bool EventReader::inspect(std::string_view event) {
     constexpr std::string_view kData = "data:";
-    if (done_ || !event.starts_with(kData)) {
-        spoilt_ = true;
-        return;
-    }
+    while (!event.empty() && (event.front() == '\n' || event.front() == '\r')) event.remove_prefix(1);
+    if (done_ || !event.starts_with(kData)) return false;
     event.remove_prefix(kData.size());
     if (event.starts_with(' ')) event.remove_prefix(1);
     if (event.ends_with('\r')) event.remove_suffix(1);
-    if (event == "[DONE]") {
-        done_ = true;
-        return;
-    }
-    // Only the last but one has figures; the others are passed on unread.
-    if (event.find("\"usage\"") == std::string_view::npos) return;
-    json::Document doc;
-    if (!json::parse(event, doc)) return;
-    const auto* usage = json::find(doc, "usage");
+    if (event == "[DONE]") done_ = true;
+    // Only the event before [DONE] has a usage; the others are forwarded without being parsed.
+    else if (event.find("\"usage\"") != std::string_view::npos) read_usage(event);
+    return true;
+}
+
+void EventReader::read_usage(std::string_view data) {
+    json::Document document;
+    if (!json::parse(data, document)) return;
+    const auto* usage = json::find(document, "usage");
     if (usage == nullptr) return;
-    prompt_tokens_ = number(json::find(*usage, "prompt_tokens"));
-    completion_tokens_ = number(json::find(*usage, "completion_tokens"));
+    prompt_tokens_ = token_count(json::find(*usage, "prompt_tokens"));
+    completion_tokens_ = token_count(json::find(*usage, "completion_tokens"));
     if (const auto* details = json::find(*usage, "prompt_tokens_details"))
-        cached_tokens_ = number(json::find(*details, "cached_tokens"));
+        cached_tokens_ = token_count(json::find(*details, "cached_tokens"));
 }
 
 std::optional<double> parse_cached_tokens(std::string_view body) {
-    json::Document doc;
-    if (!json::parse(body, doc)) return std::nullopt;
-    const auto* cached = json::find(doc, "cached_tokens");
+    json::Document document;
+    if (!json::parse(body, document)) return std::nullopt;
+    const auto* cached = json::find(document, "cached_tokens");
     if (cached == nullptr || !cached->IsNumber()) return std::nullopt;
-    return number(cached);
+    return token_count(cached);
 }
 
 }  // namespace chalksail::platform
--- a/src/platform/answer.hpp
+++ b/src/platform/answer.hpp
@@ -1,5 +1,5 @@
-// A model server's answers in the platform's form, and what each way of ending proves. Bytes to typed values;
-// no I/O.
+// A model server's response in the platform's protocol: what each way of ending proves about the attempt, and
+// the events of a stream.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -12,68 +12,73 @@
 
 namespace chalksail::platform {
 
+// "1": the server did not process the request.
 inline constexpr std::string_view kNotRunHeader = "X-Unprocessed";
 inline constexpr std::string_view kHealthPath = "/health";
 
-// Asks a writer to hold a place for the request (POST), or lets go of all that is held for it anywhere
-// (DELETE).
+// The path that reserves capacity for the request at a decode server (POST), or releases all that is reserved
+// or cached for it anywhere (DELETE).
 [[nodiscard]] std::string lease_target(std::string_view id);
 
-// How an attempt ended, as the sockets saw it.
+// How an attempt ended, as the connection saw it.
 enum class Ended {
-    answered,       // an answer came to its end
-    no_connection,  // refused, never up, or none could be had
-    broke,          // the connection broke or ended
-    malformed,      // what came can't be read, or does not fit
+    answered,       // a response came to its end
+    no_connection,  // refused, timed out while connecting, or none was available
+    broke,          // the connection was reset or closed
+    malformed,      // the response violates HTTP or the platform's protocol
     timed_out,      // this gateway stopped waiting
-    cancelled,      // this gateway gave it up
+    cancelled,      // this gateway cancelled the attempt
 };
+// What was observed of an attempt.
 struct Facts {
     Ended ended = Ended::answered;
-    bool written = false;   // the request's last byte went out
-    bool prefill = false;   // at a reader
-    bool started = false;   // an event of it was passed on
-    bool complete = false;  // a stream to its [DONE] and last chunk, or a read's answer
+    bool written = false;   // the last byte of the request was sent
+    bool prefill = false;   // at a prefill server
+    bool started = false;   // at least one event was forwarded to the client
+    bool complete = false;  // a stream up to its [DONE] and last chunk, or a prefill's whole response
     int status = 0;
-    bool not_run = false;  // the server's word for it
+    bool not_run = false;  // the response has kNotRunHeader
 };
 struct Judgement {
     AttemptOutcome outcome = AttemptOutcome::error;
     bool kv_state_missing = false;  // at_capacity only: there was no KV state to fetch
 };
-// The page's table, in its one place.
+// The outcome that the platform's rules give these facts.
 [[nodiscard]] Judgement judge(const Facts& facts);
 
-// Cuts a stream into its events, which it leaves as they are.
+// Splits a stream into its events, whose bytes it does not change, and reads the token counts of the last
+// one. Not thread-safe.
 class EventReader {
 public:
-    explicit EventReader(std::size_t most_bytes) : most_(most_bytes) {}
+    // `max_bytes`: of one event.
+    explicit EventReader(std::size_t max_bytes) : max_bytes_(max_bytes) {}
     struct Events {
-        std::string bytes;  // of the events that became whole
+        std::string bytes;  // of the events that were completed
         std::int64_t count = 0;
     };
-    // After a spoilt one nothing more is given.
+    // After a malformed event, or one over the limit, no more events are returned.
     [[nodiscard]] Events feed(std::string_view bytes);
-    [[nodiscard]] bool spoilt() const { return spoilt_; }
+    [[nodiscard]] bool malformed() const { return malformed_; }
     // [DONE] was the last event, and nothing came after it.
-    [[nodiscard]] bool done() const { return done_ && rest_.empty() && !spoilt_; }
+    [[nodiscard]] bool done() const { return done_ && partial_.empty() && !malformed_; }
     [[nodiscard]] double cached_tokens() const { return cached_tokens_; }
     [[nodiscard]] double prompt_tokens() const { return prompt_tokens_; }
     [[nodiscard]] double completion_tokens() const { return completion_tokens_; }
 
 private:
-    void look_at(std::string_view event);
+    [[nodiscard]] bool inspect(std::string_view event);
+    void read_usage(std::string_view data);
 
-    std::size_t most_;
-    std::string rest_;  // of an event that is not whole
+    std::size_t max_bytes_;
+    std::string partial_;  // the beginning of an event that is not complete
     bool done_ = false;
-    bool spoilt_ = false;
+    bool malformed_ = false;
     double cached_tokens_ = 0;
     double prompt_tokens_ = 0;
     double completion_tokens_ = 0;
 };
 
-// Of a read's answer: tokens found kept; nothing where the body does not say.
+// The number of cached prompt tokens in a prefill's response; none if it does not report them.
 [[nodiscard]] std::optional<double> parse_cached_tokens(std::string_view body);
 
 }  // namespace chalksail::platform
--- a/src/platform/configuration.cpp
+++ b/src/platform/configuration.cpp
@@ -9,61 +9,70 @@
 namespace chalksail::platform {
 namespace {
 
-Address address(const Json& o, const char* field, const std::string& told) {
-    const auto text = told.empty() ? optional<std::string>(o, field) : told;
+constexpr std::int64_t kMinMemoryMb = 16;
+constexpr std::int64_t kMinSockets = 64;
+
+Address read_address(const Json& configuration, const char* field, const std::string& variable) {
+    const auto text = variable.empty() ? optional<std::string>(configuration, field) : variable;
     if (text.empty()) reject(field, "missing");
-    const auto out = parse_address(text);
-    if (!out) reject(field, "IP:PORT wanted");
-    return *out;
+    const auto address = parse_address(text);
+    if (!address) reject(field, "IP:PORT wanted");
+    return *address;
 }
 
-std::uint64_t seed(const Json& o) {
-    const auto text = optional<std::string>(o, "seed");
-    std::uint64_t out = 0;
-    const auto [end, why] = std::from_chars(text.data(), text.data() + text.size(), out, 16);
-    if (text.empty() || why != std::errc{} || end != text.data() + text.size())
+std::uint64_t read_seed(const Json& configuration) {
+    const auto text = optional<std::string>(configuration, "seed");
+    std::uint64_t seed = 0;
+    const char* const end = text.data() + text.size();
+    const auto [stop, error] = std::from_chars(text.data(), end, seed, 16);
+    if (text.empty() || error != std::errc{} || stop != end)
         reject("seed", "up to 16 hexadecimal digits wanted");
-    return out;
+    return seed;
+}
+
+Limits read_limits(const Json& configuration) {
+    Limits limits;
+    if (find(configuration, "limits") == nullptr) return limits;
+    const Json& given = object(configuration, "limits");
+    if (find(given, "cores") != nullptr) limits.cores = required<double>(given, "cores");
+    if (find(given, "memory_mb") != nullptr)
+        limits.memory_mb = static_cast<std::int64_t>(required<double>(given, "memory_mb"));
+    if (find(given, "sockets") != nullptr) limits.sockets = required<std::int64_t>(given, "sockets");
+    if (limits.cores <= 0) reject("cores", "more than 0 wanted");
+    if (limits.memory_mb < kMinMemoryMb) reject("memory_mb", "at least 16 wanted");
+    if (limits.sockets < kMinSockets) reject("sockets", "at least 64 wanted");
+    return limits;
 }
 
-Limits limits(const Json& o) {
-    Limits out;
-    if (find(o, "limits") == nullptr) return out;
-    const Json& l = object(o, "limits");
-    if (find(l, "cores") != nullptr) out.cores = required<double>(l, "cores");
-    if (find(l, "memory_mb") != nullptr)
-        out.memory_mb = static_cast<std::int64_t>(required<double>(l, "memory_mb"));
-    if (find(l, "sockets") != nullptr) out.sockets = required<std::int64_t>(l, "sockets");
-    if (out.cores <= 0) reject("cores", "more than 0 wanted");
-    if (out.memory_mb < 16) reject("memory_mb", "at least 16 wanted");
-    if (out.sockets < 64) reject("sockets", "at least 64 wanted");
-    return out;
+std::optional<EndpointListUpdate> read_known_endpoints(const Json& configuration) {
+    const Json* known = find(configuration, "known");
+    if (known == nullptr) return std::nullopt;
+    auto list = read_endpoint_list(*known);
+    if (!list) throw BadField("known: " + list.error());
+    return std::move(*list);
 }
 
 }  // namespace
 
 tl::expected<Configuration, std::string> parse_configuration(std::string_view text,
                                                              const Environment& environment) {
-    json::Document o;
-    if (!json::parse(text, o) || !o.IsObject()) return tl::unexpected(std::string("one JSON object wanted"));
+    json::Document document;
+    if (!json::parse(text, document) || !document.IsObject())
+        return tl::unexpected(std::string("one JSON object wanted"));
     try {
-        Configuration out;
-        out.name = environment.name.empty() ? optional<std::string>(o, "name") : environment.name;
-        if (out.name.empty()) reject("name", "missing");
-        out.listen = address(o, "listen", environment.listen);
-        out.discovery = address(o, "discovery", environment.discovery);
-        out.seed = seed(o);
-        out.limits = limits(o);
-        const Json& settings = object(o, "settings");
-        out.settings = read_settings(settings);
-        const Json& allowed = object(settings, "limits");
-        out.server_idle = optional<Duration>(allowed, "conn_idle_ns");
-        if (const Json* known = find(o, "known")) {
-            auto list = read_endpoint_list(*known);
-            if (!list) throw BadField("known: " + list.error());
-            out.known = std::move(*list);
-        }
-        return out;
+        Configuration configuration;
+        configuration.name =
+            environment.name.empty() ? optional<std::string>(document, "name") : environment.name;
+        if (configuration.name.empty()) reject("name", "missing");
+        configuration.listen = read_address(document, "listen", environment.listen);
+        configuration.discovery = read_address(document, "discovery", environment.discovery);
+        configuration.seed = read_seed(document);
+        configuration.limits = read_limits(document);
+        const Json& settings = object(document, "settings");
+        configuration.settings = read_settings(settings);
+        configuration.server_idle = optional<Duration>(object(settings, "limits"), "conn_idle_ns");
+        configuration.known = read_known_endpoints(document);
+        return configuration;
     } catch (const BadField& error) {
         return tl::unexpected(std::string(error.what()));
     }
--- a/src/platform/configuration.hpp
+++ b/src/platform/configuration.hpp
@@ -1,5 +1,11 @@
-// What the platform tells a gateway at its start: a JSON file, and a few of its members again as variables.
-// No I/O.
+// The users' platform: its configuration file, client requests, model servers' responses and endpoint list as
+// typed messages.
+//
+// The platform's own words (its JSON members and headers) end here; beyond the package they have the names of
+// the public interface. Bytes in, values out: no I/O, no clock, no threads. What is wrong with the input is a
+// text that names the member or header at fault, for the log or the client.
+//
+// This header: what a gateway is given at its start, a JSON file and a few environment variables.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -14,6 +20,7 @@
 
 namespace chalksail::platform {
 
+// Resources of this gateway's process.
 struct Limits {
     double cores = 1;
     std::int64_t memory_mb = 64;
@@ -26,12 +33,12 @@
     Address discovery;
     std::uint64_t seed = 0;
     Limits limits;
-    std::optional<EndpointListUpdate> known;  // the list may be old
+    std::optional<EndpointListUpdate> known;  // a list from before, which may be stale
     Settings settings;
-    Duration server_idle{};  // a server closes a connection not used for so long
+    Duration server_idle{};  // servers close a connection that was idle for so long; 0: not given
 };
 
-// Variables of the environment; empty where one is not set. One that is set wins over the file.
+// Environment variables; empty where one is not set. One that is set wins over the file.
 struct Environment {
     std::string name;
     std::string listen;
--- a/src/platform/endpoint_list.cpp
+++ b/src/platform/endpoint_list.cpp
@@ -9,28 +9,29 @@
 namespace chalksail::platform {
 namespace {
 
+// The year 2255; later times would overflow nanoseconds further on.
+constexpr std::int64_t kMaxUnixMs = 9'000'000'000'000;
+
 EndpointEntry read_instance(const Json& item) {
-    EndpointEntry out;
-    out.id = required<std::string>(item, "instanceId");
-    if (out.id.empty()) reject("instanceId", "text wanted");
-    out.state = word<EndpointState>(item, "lifecycle",
-                                    {{"up", EndpointState::up},
-                                     {"draining", EndpointState::draining},
-                                     {"removed", EndpointState::removed}});
+    EndpointEntry entry;
+    entry.id = required<std::string>(item, "instanceId");
+    if (entry.id.empty()) reject("instanceId", "text wanted");
+    entry.state = word<EndpointState>(item, "lifecycle",
+                                      {{"up", EndpointState::up},
+                                       {"draining", EndpointState::draining},
+                                       {"removed", EndpointState::removed}});
     const auto address = parse_address(optional<std::string>(item, "hostPort"));
-    // One that is gone needs no address.
-    if ((!address || address->port == 0) && out.state != EndpointState::removed)
+    // A removed server needs no address.
+    if ((!address || address->port == 0) && entry.state != EndpointState::removed)
         reject("hostPort", "IP:PORT wanted");
-    if (address) out.address = *address;
-    out.zone = optional<std::string>(item, "zone");
-    out.kind = optional<std::string>(item, "machineType");
-    out.cell = optional<std::int64_t>(item, "cell");
-    if (find(item, "weight") != nullptr) out.weight = required<double>(item, "weight");
-    out.started_unix_ms = optional<std::int64_t>(item, "startedAtMs");
-    // A time that no clock shows would overflow further on.
-    if (out.started_unix_ms < 0 || out.started_unix_ms > 9'000'000'000'000)
-        reject("startedAtMs", "time wanted");
-    return out;
+    if (address) entry.address = *address;
+    entry.zone = optional<std::string>(item, "zone");
+    entry.kind = optional<std::string>(item, "machineType");
+    entry.cell = optional<std::int64_t>(item, "cell");
+    if (find(item, "weight") != nullptr) entry.weight = required<double>(item, "weight");
+    entry.started_unix_ms = optional<std::int64_t>(item, "startedAtMs");
+    if (entry.started_unix_ms < 0 || entry.started_unix_ms > kMaxUnixMs) reject("startedAtMs", "time wanted");
+    return entry;
 }
 
 }  // namespace
@@ -38,16 +39,16 @@
 tl::expected<EndpointListUpdate, std::string> read_endpoint_list(const Json& list) {
     try {
         if (!list.IsObject()) return tl::unexpected(std::string("an object wanted"));
-        EndpointListUpdate out;
-        out.generation = required<std::int64_t>(list, "generation");
-        out.whole = optional<bool>(list, "reset");
-        std::set<std::string> named;
+        EndpointListUpdate update;
+        update.generation = required<std::int64_t>(list, "generation");
+        update.complete = optional<bool>(list, "reset");
+        std::set<std::string> ids;
         for (const auto& item : array(list, "instances").GetArray()) {
             if (!item.IsObject()) reject("instances", "objects wanted");
-            out.instances.push_back(read_instance(item));
-            if (!named.insert(out.instances.back().id).second) reject("instanceId", "named twice");
+            update.endpoints.push_back(read_instance(item));
+            if (!ids.insert(update.endpoints.back().id).second) reject("instanceId", "named twice");
         }
-        return out;
+        return update;
     } catch (const BadField& error) {
         return tl::unexpected(std::string(error.what()));
     }
@@ -61,16 +62,16 @@
 
 std::string watch_target() { return "/v1/endpoints?follow=1&since=0"; }
 
-// Takes one more byte; is it the last one of what began?
+// Follows the quotes and braces over one more byte. True if it is the last one of the object.
 bool ObjectReader::ends_with(char c) {
-    if (text_.front() != '{') return c == '\n';
+    if (partial_.front() != '{') return c == '\n';
     if (escaped_) {
         escaped_ = false;
-    } else if (quoted_) {
+    } else if (in_string_) {
         escaped_ = c == '\\';
-        quoted_ = c != '"';
+        in_string_ = c != '"';
     } else if (c == '"') {
-        quoted_ = true;
+        in_string_ = true;
     } else if (c == '{') {
         ++depth_;
     } else if (c == '}') {
@@ -81,16 +82,16 @@
 
 std::vector<std::string> ObjectReader::feed(std::string_view bytes) {
     constexpr std::string_view kWhiteSpace = " \t\r\n";
-    std::vector<std::string> out;
+    std::vector<std::string> objects;
     for (const char c : bytes) {
         if (overflowed_) break;
-        if (text_.empty() && kWhiteSpace.find(c) != std::string_view::npos) continue;
-        text_ += c;
-        if (ends_with(c)) out.push_back(std::exchange(text_, {}));
-        overflowed_ = text_.size() > most_;
+        if (partial_.empty() && kWhiteSpace.find(c) != std::string_view::npos) continue;
+        partial_ += c;
+        if (ends_with(c)) objects.push_back(std::exchange(partial_, {}));
+        overflowed_ = partial_.size() > max_bytes_;
     }
-    if (overflowed_) std::string().swap(text_);
-    return out;
+    if (overflowed_) std::string().swap(partial_);
+    return objects;
 }
 
 }  // namespace chalksail::platform
--- a/src/platform/endpoint_list.hpp
+++ b/src/platform/endpoint_list.hpp
@@ -1,5 +1,5 @@
-// The platform's list of model servers, as discovery tells it: whole, or as a watch of one JSON object a
-// line. Bytes to typed values; no I/O. Bounded: a line over its limit is an error before it is stored.
+// The platform's list of model servers as its discovery service sends it: complete, or as a watch, a stream
+// of JSON objects.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -26,38 +26,39 @@
 };
 struct EndpointListUpdate {
     std::int64_t generation = 0;
-    bool whole = false;  // all that are left out are gone
-    std::vector<EndpointEntry> instances;
+    bool complete = false;  // endpoints that are not in it were removed
+    std::vector<EndpointEntry> endpoints;
 };
 
-// Taken whole or not at all: an unknown word, a name twice, an address that is none refuse all of it, with
-// the reason.
+// An update is rejected as a whole, with the reason, for an unknown word, an id given twice or an invalid
+// address.
 [[nodiscard]] tl::expected<EndpointListUpdate, std::string> read_endpoint_list(const rapidjson::Value& list);
 [[nodiscard]] tl::expected<EndpointListUpdate, std::string> parse_endpoint_list(std::string_view text);
 
-// The path of a watch that begins with the whole list. Versions are not asked for: a discovery that has
-// started anew, or another one, may count from a lower number, and would leave out what it thinks is known.
+// The path of a watch that begins with the complete list. It does not resume from a generation: a discovery
+// service that was restarted may count from a lower one, and would omit what it takes for known.
 [[nodiscard]] std::string watch_target();
 
-// Cuts a watch's bytes into JSON objects, one to a line or spread over several. White space between them,
-// which only says that discovery lives, is left out. What is no object is given as it stands, up to the
-// line's end.
+// Splits the bytes of a watch into JSON objects, each on one line or over several. White space between them,
+// which only keeps the watch alive, is dropped. Text that is no object is returned as it is, up to the end of
+// its line. Not thread-safe.
 class ObjectReader {
 public:
-    explicit ObjectReader(std::size_t most_bytes) : most_(most_bytes) {}
-    // The objects that became whole. After an overflow nothing more is given.
+    // `max_bytes`: of one object; a larger one is never stored.
+    explicit ObjectReader(std::size_t max_bytes) : max_bytes_(max_bytes) {}
+    // The objects that were completed. After an overflow none are returned.
     [[nodiscard]] std::vector<std::string> feed(std::string_view bytes);
     [[nodiscard]] bool overflowed() const { return overflowed_; }
     // Has an object begun and not ended?
-    [[nodiscard]] bool midway() const { return !text_.empty(); }
+    [[nodiscard]] bool midway() const { return !partial_.empty(); }
 
 private:
     [[nodiscard]] bool ends_with(char c);
 
-    std::size_t most_;
-    std::string text_;
+    std::size_t max_bytes_;
+    std::string partial_;
     std::size_t depth_ = 0;  // of braces
-    bool quoted_ = false;
+    bool in_string_ = false;
     bool escaped_ = false;
     bool overflowed_ = false;
 };
--- a/src/platform/fields.hpp
+++ b/src/platform/fields.hpp
@@ -1,5 +1,5 @@
-// Typed members of the JSON objects that the platform and its simulator hand out. A member that is missing or
-// of another kind is a BadField, which names it; what reads a message whole catches it there.
+// Typed access to the members of the JSON objects that the platform and its simulator send. A member that is
+// missing or of a wrong type throws BadField, which the reader of the whole message catches.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -14,16 +14,21 @@
 
 namespace chalksail::platform {
 
+// Its text names the member and what is wrong with it.
 struct BadField : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 using Json = rapidjson::Value;
 
+// Largest number with a decimal point that is converted to std::int64_t; just below 2^63.
+inline constexpr double kMaxWholeNumber = 9e18;
+
 [[noreturn]] inline void reject(const char* field, const char* wanted) {
     throw BadField(std::string("field '") + field + "': " + wanted);
 }
 
+// nullptr if the member is absent or null.
 inline const Json* find(const Json& object, const char* field) {
     const auto it = object.FindMember(field);
     return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
@@ -34,6 +39,7 @@
     return *value;
 }
 
+// The value as a T. Durations are whole nanoseconds. `field` is named in the error.
 template <class T>
 T convert(const Json& value, const char* field);
 template <>
@@ -55,7 +61,8 @@
 inline std::int64_t convert(const Json& value, const char* field) {
     if (value.IsInt64()) return value.GetInt64();
     // Settings may carry whole numbers with a decimal point.
-    if (!value.IsDouble() || std::abs(value.GetDouble()) > 9e18) reject(field, "whole number wanted");
+    if (!value.IsDouble() || std::abs(value.GetDouble()) > kMaxWholeNumber)
+        reject(field, "whole number wanted");
     const double number = value.GetDouble();
     if (number != std::floor(number)) reject(field, "whole number wanted");
     return static_cast<std::int64_t>(number);
@@ -81,7 +88,7 @@
 T required(const Json& object, const char* field) {
     return convert<T>(need(object, field), field);
 }
-// An absent field takes the type's own empty value, as the wire says: absent is none, 0 or false.
+// An absent member is the type's empty value: none, 0 or false.
 template <class T>
 T optional(const Json& object, const char* field) {
     const Json* value = find(object, field);
@@ -97,6 +104,7 @@
     if (!value.IsObject()) reject(field, "object wanted");
     return value;
 }
+// An array of values of one type; empty if the member is absent.
 template <class T>
 std::vector<T> row(const Json& parent, const char* field) {
     std::vector<T> out;
@@ -107,6 +115,7 @@
     return out;
 }
 
+// The value that a required text stands for.
 template <class T>
 T word(const Json& line, const char* field, const std::map<std::string, T>& words) {
     const auto it = words.find(required<std::string>(line, field));
--- a/src/platform/request.cpp
+++ b/src/platform/request.cpp
@@ -14,101 +14,115 @@
 namespace chalksail::platform {
 namespace {
 
-constexpr std::size_t kMostId = 128;
-constexpr double kMostTokens = 1e9;
-constexpr double kBytesPerToken = 4;  // the platform's own measure
+constexpr std::size_t kMaxNameBytes = 128;
+constexpr double kMaxTokens = 1e9;
+constexpr double kBytesPerToken = 4;  // the platform's own estimate
+constexpr std::int64_t kDayMs = 86'400'000;
 
-// Names that come from outside go into paths and logs: letters, digits and a few marks only.
+// Names from outside get into paths and logs: letters, digits and a few marks only.
+bool is_name_char(char c) {
+    return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' ||
+           c == '_' || c == '.';
+}
 bool is_name(std::string_view text) {
-    return !text.empty() && text.size() <= kMostId && std::all_of(text.begin(), text.end(), [](char c) {
-        return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' ||
-               c == '_' || c == '.';
-    });
+    return !text.empty() && text.size() <= kMaxNameBytes &&
+           std::all_of(text.begin(), text.end(), is_name_char);
 }
+
 std::size_t count(const http::Headers& headers, std::string_view name) {
     return static_cast<std::size_t>(
         std::count_if(headers.all().begin(), headers.all().end(),
-                      [&](const auto& h) { return http::same_name(h.name, name); }));
+                      [&](const auto& header) { return http::same_name(header.name, name); }));
 }
-std::optional<double> parse_count(std::string_view text) {
-    double out = 0;
-    const auto [end, why] = std::from_chars(text.data(), text.data() + text.size(), out);
-    if (why != std::errc{} || end != text.data() + text.size() || !(out >= 0 && out <= kMostTokens))
-        return std::nullopt;
-    return out;
+
+std::optional<double> parse_token_count(std::string_view text) {
+    double value = 0;
+    const char* const end = text.data() + text.size();
+    const auto [stop, error] = std::from_chars(text.data(), end, value);
+    if (error != std::errc{} || stop != end || !(value >= 0 && value <= kMaxTokens)) return std::nullopt;
+    return value;
+}
+
+std::string_view trim_spaces(std::string_view text) {
+    while (!text.empty() && text.front() == ' ') text.remove_prefix(1);
+    while (!text.empty() && text.back() == ' ') text.remove_suffix(1);
+    return text;
+}
+
+// Reads one "name=value"; unknown names are ignored. False if it is malformed.
+bool read_fact(std::string_view fact, ClientRequest& request) {
+    const auto equals = fact.find('=');
+    if (equals == std::string_view::npos) return false;
+    const auto name = fact.substr(0, equals);
+    const auto value = fact.substr(equals + 1);
+    if (name == "prefix") {
+        if (!is_name(value)) return false;
+        request.prefix = value;
+        return true;
+    }
+    double* tokens = nullptr;
+    if (name == "prompt_len") tokens = &request.prompt_tokens;
+    else if (name == "prefix_len") tokens = &request.shared_tokens;
+    else if (name == "max_out") tokens = &request.max_output;
+    else return true;
+    const auto number = parse_token_count(value);
+    if (!number) return false;
+    *tokens = *number;
+    return true;
 }
 
-// name=value, name=value, ...; unknown names are passed over.
-bool read_facts(std::string_view text, ClientRequest& out) {
+// Reads the comma-separated facts of kFactsHeader. False if one is malformed.
+bool read_facts(std::string_view text, ClientRequest& request) {
     while (!text.empty()) {
-        const auto end = text.find(',');
-        auto fact = text.substr(0, end);
-        text.remove_prefix(end == std::string_view::npos ? text.size() : end + 1);
-        while (!fact.empty() && fact.front() == ' ') fact.remove_prefix(1);
-        while (!fact.empty() && fact.back() == ' ') fact.remove_suffix(1);
-        if (fact.empty()) continue;
-        const auto equals = fact.find('=');
-        if (equals == std::string_view::npos) return false;
-        const auto name = fact.substr(0, equals);
-        const auto value = fact.substr(equals + 1);
-        if (name == "prefix") {
-            if (!is_name(value)) return false;
-            out.prefix = value;
-            continue;
-        }
-        double* const place = name == "prompt_len"   ? &out.prompt_tokens
-                              : name == "prefix_len" ? &out.shared_tokens
-                              : name == "max_out"    ? &out.max_output
-                                                     : nullptr;
-        if (place == nullptr) continue;
-        const auto number = parse_count(value);
-        if (!number) return false;
-        *place = *number;
+        const auto comma = text.find(',');
+        const auto fact = trim_spaces(text.substr(0, comma));
+        text.remove_prefix(comma == std::string_view::npos ? text.size() : comma + 1);
+        if (!fact.empty() && !read_fact(fact, request)) return false;
     }
     return true;
 }
 
-// Is the body one JSON object? Looks at each byte once and stores nothing.
-bool is_object(std::string_view body) {
+// Is the body one JSON object? Validates it in one pass and stores nothing.
+bool is_json_object(std::string_view body) {
     const auto first = body.find_first_not_of(" \t\r\n");
     if (first == std::string_view::npos || body[first] != '{') return false;
     rapidjson::MemoryStream bytes(body.data(), body.size());
-    rapidjson::BaseReaderHandler<> nothing;
+    rapidjson::BaseReaderHandler<> ignore;
     rapidjson::Reader reader;
-    return !reader.Parse<rapidjson::kParseIterativeFlag>(bytes, nothing).IsError();
+    return !reader.Parse<rapidjson::kParseIterativeFlag>(bytes, ignore).IsError();
 }
 
 }  // namespace
 
 tl::expected<ClientRequest, std::string> read_request(const http::Request& request) {
     const auto& headers = request.headers;
-    const auto bad = [](std::string_view header, std::string_view what) {
-        return tl::unexpected(std::string(header) + ": " + std::string(what));
+    const auto error = [](std::string_view header, std::string_view problem) {
+        return tl::unexpected(std::string(header) + ": " + std::string(problem));
     };
-    // One that stands there twice may be read in two ways, here and at the servers.
+    // A header given twice may be read differently here and at the servers.
     for (const auto header : {kIdHeader, kClassHeader, kTenantHeader, kSessionHeader, kTimeLeftHeader,
                               kFactsHeader, kRepeatHeader, kIdempotencyHeader})
-        if (count(headers, header) > 1) return bad(header, "given twice");
+        if (count(headers, header) > 1) return error(header, "given twice");
     ClientRequest out;
     out.id = headers.get(kIdHeader);
-    if (!is_name(out.id)) return bad(kIdHeader, "missing, or no id");
+    if (!is_name(out.id)) return error(kIdHeader, "missing, or no id");
     out.class_name = headers.get(kClassHeader);
-    if (!is_name(out.class_name)) return bad(kClassHeader, "missing, or no class");
+    if (!is_name(out.class_name)) return error(kClassHeader, "missing, or no class");
     out.tenant = headers.get(kTenantHeader);
     out.idempotency_key = headers.get(kIdempotencyHeader);
     out.session = headers.get(kSessionHeader);
-    if (!out.session.empty() && !is_name(out.session)) return bad(kSessionHeader, "no key");
+    if (!out.session.empty() && !is_name(out.session)) return error(kSessionHeader, "no key");
     const auto left = parse_time_left(headers.get(kTimeLeftHeader));
-    if (!left) return bad(kTimeLeftHeader, "missing, or no time");
+    if (!left) return error(kTimeLeftHeader, "missing, or no time");
     out.time_left = *left;
-    if (!read_facts(headers.get(kFactsHeader), out)) return bad(kFactsHeader, "no facts");
+    if (!read_facts(headers.get(kFactsHeader), out)) return error(kFactsHeader, "no facts");
     if (out.prompt_tokens == 0) out.prompt_tokens = static_cast<double>(request.body.size()) / kBytesPerToken;
     out.shared_tokens = std::min(out.shared_tokens, out.prompt_tokens);
     const auto repeat = headers.get(kRepeatHeader);
     out.retry = repeat == "1";
-    out.again = repeat == "again";
-    if (!repeat.empty() && !out.retry && !out.again) return bad(kRepeatHeader, "unknown word");
-    if (!is_object(request.body)) return bad("body", "no JSON object");
+    out.resumes_stream = repeat == "again";
+    if (!repeat.empty() && !out.retry && !out.resumes_stream) return error(kRepeatHeader, "unknown word");
+    if (!is_json_object(request.body)) return error("body", "no JSON object");
     return out;
 }
 
@@ -117,9 +131,9 @@
     const char unit = text.back();
     text.remove_suffix(1);
     std::int64_t number = 0;
-    const auto [end, why] = std::from_chars(text.data(), text.data() + text.size(), number);
-    if (why != std::errc{} || end != text.data() + text.size() || number <= 0) return std::nullopt;
-    constexpr std::int64_t kDayMs = 86'400'000;
+    const char* const end = text.data() + text.size();
+    const auto [stop, error] = std::from_chars(text.data(), end, number);
+    if (error != std::errc{} || stop != end || number <= 0) return std::nullopt;
     if (unit == 'm' && number <= kDayMs) return std::chrono::milliseconds(number);
     if (unit == 'u' && number <= kDayMs * 1000) return std::chrono::microseconds(number);
     return std::nullopt;
--- a/src/platform/request.hpp
+++ b/src/platform/request.hpp
@@ -1,5 +1,5 @@
-// A client's request in the platform's form: what its headers say, each checked, and the errors that bad ones
-// get. Bytes to typed values; no I/O.
+// A client's request in the platform's protocol: the values of its headers, each validated, and the formats
+// of the headers and bodies that a gateway sends.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -21,31 +21,33 @@
 inline constexpr std::string_view kTimeLeftHeader = "X-Time-Left";
 inline constexpr std::string_view kFactsHeader = "X-Facts";
 inline constexpr std::string_view kRepeatHeader = "X-Repeat";
-// Of classes whose effect is told apart by a key: servers drop repeats by it. Passed on as it is.
+// Forwarded unchanged: servers deduplicate requests of the classes that are idempotent by key.
 inline constexpr std::string_view kIdempotencyHeader = "Idempotency-Key";
 
 struct ClientRequest {
     std::string id;
     std::string class_name;
     std::string tenant;
-    std::string session;          // empty: none named
-    std::string idempotency_key;  // empty: none
-    std::string prefix;
-    Duration time_left{};
+    std::string session;          // empty: none given
+    std::string idempotency_key;  // empty: none given
+    std::string prefix;           // id of the prompt prefix that the request shares; empty: none
+    Duration time_left{};         // until the client gives up
     double prompt_tokens = 0;
-    double shared_tokens = 0;
-    double max_output = 0;
+    double shared_tokens = 0;  // of the prompt prefix; at most prompt_tokens
+    double max_output = 0;     // tokens
     bool retry = false;
-    bool again = false;
+    bool resumes_stream = false;
 };
-// What is wrong, for a 400.
+// The error says which header is invalid, for a 400 response.
 [[nodiscard]] tl::expected<ClientRequest, std::string> read_request(const http::Request& request);
 
-// "4800m", "350u"; nothing for other text, for 0 and for more than a day.
+// "4800m" (milliseconds), "350u" (microseconds). None for other text, 0, or more than a day.
 [[nodiscard]] std::optional<Duration> parse_time_left(std::string_view text);
+// In milliseconds, at least 1.
 [[nodiscard]] std::string format_time_left(Duration left);
-// Seconds, with three decimals.
+// In seconds, with three decimals.
 [[nodiscard]] std::string format_retry_after(Duration after);
+// The body of an error response.
 [[nodiscard]] std::string format_error(std::string_view message);
 
 }  // namespace chalksail::platform
--- a/src/platform/settings.hpp
+++ b/src/platform/settings.hpp
@@ -1,5 +1,5 @@
-// The simulator's start object, which is also the platform's `settings`, as the module's Settings. One reader
-// for the adapter and the edge. No I/O.
+// The platform's `settings` object, which is also the simulator's start object, as the router's Settings. The
+// adapter and the gateway share this reader.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -8,7 +8,7 @@
 
 namespace chalksail::platform {
 
-// Throws BadField (fields.hpp), which names the member at fault. Unknown members are passed over.
+// Throws BadField (fields.hpp), which names the member at fault. Unknown members are ignored.
 [[nodiscard]] Settings read_settings(const rapidjson::Value& options);
 
 }  // namespace chalksail::platform
--- a/tests/core/platform_edge_test.cpp
+++ b/tests/core/platform_edge_test.cpp
@@ -5,8 +5,8 @@
 
 #include "core/driver.hpp"
 #include "core/platform_settings.hpp"
+#include "platform/platform_fixture.hpp"
 #include "platform/request.hpp"
-#include "platform/told.hpp"
 
 namespace chalksail::core::testing {
 namespace {
--- a/tests/fuzz/platform_fuzz.cpp
+++ b/tests/fuzz/platform_fuzz.cpp
@@ -29,7 +29,7 @@
         for (const auto& line : reader.feed(part)) {
             out += line + "\n";
             if (const auto list = parse_endpoint_list(line))
-                for (const auto& i : list->instances)
+                for (const auto& i : list->endpoints)
                     if (i.id.empty()) std::abort();
         }
     });
@@ -47,7 +47,7 @@
                  for (const auto& piece : reader.feed(part)) {
                      if (const auto* body = std::get_if<http::BodyPiece>(&piece)) {
                          in_parts(body->bytes, step, [&](auto bytes) { out += events.feed(bytes).bytes; });
-                         if (events.spoilt() && events.done()) std::abort();
+                         if (events.malformed() && events.done()) std::abort();
                      }
                      over = over || std::holds_alternative<http::ResponseEnd>(piece) ||
                             std::holds_alternative<http::Fault>(piece);
--- a/tests/net/platform_rig.hpp
+++ b/tests/net/platform_rig.hpp
@@ -7,7 +7,7 @@
 #include "core/platform_settings.hpp"
 #include "net/discovery_watch.hpp"
 #include "net/rig.hpp"
-#include "platform/told.hpp"
+#include "platform/platform_fixture.hpp"
 
 namespace chalksail::net::testing {
 
--- a/tests/platform/told.hpp
+++ b/tests/platform/platform_fixture.hpp
@@ -1,4 +1,4 @@
-// A configuration as the platform tells it, and a list of servers.
+// The platform's messages for tests: a configuration, an endpoint list, a request.
 #pragma once
 
 #include <string>
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -1,9 +1,9 @@
-// The platform's codecs: what is read, and what is refused.
+// The platform's codecs: what is accepted, and what is rejected.
 #include <gtest/gtest.h>
 
 #include "platform/answer.hpp"
+#include "platform/platform_fixture.hpp"
 #include "platform/request.hpp"
-#include "platform/told.hpp"
 
 namespace chalksail::platform::testing {
 namespace {
@@ -12,7 +12,7 @@
 
 // ---- configuration ----
 
-TEST(PlatformConfiguration, IsReadAndVariablesWin) {
+TEST(PlatformConfiguration, EnvironmentVariablesWin) {
     const auto list = list_text(instance("s-1", "reader", "10.0.0.1:80"));
     const auto c = parse_configuration(configuration_text("10.2.0.1:8500", list), {"n7", "10.0.0.9:90", ""});
     ASSERT_TRUE(c) << c.error();
@@ -24,10 +24,10 @@
     EXPECT_EQ(c->server_idle, 15s);
     EXPECT_EQ(c->settings.classes.at(1).idempotency, Idempotency::non_idempotent);
     ASSERT_TRUE(c->known);
-    EXPECT_EQ(c->known->instances.at(0).id, "s-1");
+    EXPECT_EQ(c->known->endpoints.at(0).id, "s-1");
 }
 
-TEST(PlatformConfiguration, BadOnesNameTheMember) {
+TEST(PlatformConfiguration, ErrorsNameTheMember) {
     const auto broken = [](std::string text, const std::string& from, const std::string& to) {
         text.replace(text.find(from), from.size(), to);
         return text;
@@ -46,18 +46,18 @@
     }
 }
 
-// ---- the list ----
+// ---- endpoint list ----
 
-TEST(PlatformList, IsTakenWholeOrNotAtAll) {
+TEST(PlatformEndpointList, IsAcceptedOrRejectedAsAWhole) {
     const auto good = parse_endpoint_list(list_text(instance("a", "reader", "10.0.0.1:80") + "," +
                                                         instance("b", "writer", "10.0.0.2:80", "draining") +
                                                         "," + instance("c", "writer", "", "removed"),
                                                     43, false));
     ASSERT_TRUE(good) << good.error();
     EXPECT_EQ(good->generation, 43);
-    EXPECT_FALSE(good->whole);
-    EXPECT_EQ(good->instances.at(1).state, EndpointState::draining);
-    EXPECT_EQ(good->instances.at(2).state, EndpointState::removed);
+    EXPECT_FALSE(good->complete);
+    EXPECT_EQ(good->endpoints.at(1).state, EndpointState::draining);
+    EXPECT_EQ(good->endpoints.at(2).state, EndpointState::removed);
     for (const auto& bad :
          {std::string("[1]"), std::string(R"({"generation":1})"), std::string("{"),
           list_text(instance("a", "r", "10.0.0.1:80") + "," + instance("a", "r", "10.0.0.2:80")),
@@ -66,7 +66,7 @@
         EXPECT_FALSE(parse_endpoint_list(bad)) << bad;
 }
 
-TEST(PlatformList, LinesAreCutAlikeHoweverTheyCome) {
+TEST(PlatformEndpointList, ObjectsAreTheSameHoweverTheBytesArrive) {
     const std::string text = "{\"a\":1}\r\n\n\n{\"b\":2}\n{\"c\"";
     for (std::size_t step = 1; step <= text.size(); ++step) {
         ObjectReader reader(100);
@@ -91,7 +91,7 @@
     return std::holds_alternative<http::Request>(got) ? std::get<http::Request>(got) : http::Request{};
 }
 
-TEST(PlatformRequest, SaysWhatTheModuleIsTold) {
+TEST(PlatformRequest, HeadersAreRead) {
     const auto r = read_request(request(post("9b1f", "chat", "X-Repeat: again\r\n", "4800m")));
     ASSERT_TRUE(r) << r.error();
     EXPECT_EQ(r->id, "9b1f");
@@ -101,13 +101,13 @@
     EXPECT_EQ(r->prompt_tokens, 500);
     EXPECT_EQ(r->shared_tokens, 200);
     EXPECT_EQ(r->max_output, 80);
-    EXPECT_TRUE(r->again);
+    EXPECT_TRUE(r->resumes_stream);
     EXPECT_FALSE(r->retry);
     EXPECT_TRUE(read_request(request(post("9b1f", "chat", "X-Repeat: 1\r\n")))->retry);
 }
 
 class BadRequest : public ::testing::TestWithParam<std::string> {};
-TEST_P(BadRequest, IsRefused) { EXPECT_FALSE(read_request(request(GetParam()))); }
+TEST_P(BadRequest, IsRejected) { EXPECT_FALSE(read_request(request(GetParam()))); }
 INSTANTIATE_TEST_SUITE_P(Kinds, BadRequest,
                          ::testing::Values(
                              post(""), post("a b"), post("a/../b"), post(std::string(200, 'a')),
@@ -129,7 +129,7 @@
                                  return text;
                              }()));
 
-TEST(PlatformRequest, TimesBothWays) {
+TEST(PlatformRequest, DurationsAreParsedAndFormatted) {
     EXPECT_EQ(parse_time_left("350u"), Duration(350us));
     EXPECT_EQ(format_time_left(4800ms), "4800m");
     EXPECT_EQ(format_retry_after(250ms), "0.250");
@@ -137,7 +137,7 @@
 
 // ---- answers ----
 
-TEST(PlatformAnswer, OutcomesByThePagesTable) {
+TEST(PlatformAnswer, OutcomesFollowThePlatformsRules) {
     const auto of = [](Facts f) { return judge(f).outcome; };
     const Facts sent{Ended::answered, true, false, false, false, 0, false};
     const auto with = [&](auto change) {
@@ -149,7 +149,7 @@
     EXPECT_EQ(of(with([](auto& f) { f.status = 200, f.started = true; })),
               AttemptOutcome::reset);  // no [DONE]
     EXPECT_EQ(of(with([](auto& f) { f.status = 500; })), AttemptOutcome::error);
-    EXPECT_EQ(of(with([](auto& f) { f.status = 503; })), AttemptOutcome::error);  // without its word
+    EXPECT_EQ(of(with([](auto& f) { f.status = 503; })), AttemptOutcome::error);  // without its header
     EXPECT_EQ(of(with([](auto& f) { f.status = 503, f.not_run = true; })), AttemptOutcome::at_capacity);
     EXPECT_EQ(of(with([](auto& f) { f.status = 504, f.not_run = true; })), AttemptOutcome::at_capacity);
     EXPECT_EQ(of(with([](auto& f) { f.status = 500, f.not_run = true; })), AttemptOutcome::error);
@@ -157,8 +157,8 @@
     EXPECT_EQ(of(with([](auto& f) { f.status = 202, f.prefill = f.complete = true; })),
               AttemptOutcome::prefilled);
     EXPECT_EQ(of(with([](auto& f) { f.status = 202, f.complete = true; })),
-              AttemptOutcome::error);  // not at a reader
-    // The request's last byte is the line.
+              AttemptOutcome::error);  // not at a prefill server
+    // Whether the request's last byte was sent makes the difference.
     for (const auto ended : {Ended::no_connection, Ended::broke, Ended::timed_out, Ended::cancelled}) {
         Facts f;
         f.ended = ended;
@@ -172,22 +172,22 @@
     EXPECT_EQ(of(with([](auto& f) { f.ended = Ended::malformed, f.started = true; })), AttemptOutcome::reset);
 }
 
-TEST(PlatformAnswer, EventsPassUnchangedHoweverTheyCome) {
+TEST(PlatformAnswer, EventsAreUnchangedHoweverTheBytesArrive) {
     const std::string text =
         "data: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\n"
         "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":50,\"completion_tokens\":2,"
         "\"prompt_tokens_details\":{\"cached_tokens\":40}}}\n\ndata: [DONE]\n\n";
     for (std::size_t step = 1; step <= text.size(); ++step) {
         EventReader reader(1000);
-        std::string passed;
+        std::string forwarded;
         std::int64_t count = 0;
         for (std::size_t at = 0; at < text.size(); at += step) {
             EXPECT_FALSE(reader.done());
             const auto events = reader.feed(std::string_view(text).substr(at, step));
-            passed += events.bytes;
+            forwarded += events.bytes;
             count += events.count;
         }
-        EXPECT_EQ(passed, text);
+        EXPECT_EQ(forwarded, text);
         EXPECT_EQ(count, 3);
         EXPECT_TRUE(reader.done());
         EXPECT_EQ(reader.cached_tokens(), 40);
@@ -195,12 +195,12 @@
     }
 }
 
-TEST(PlatformAnswer, SpoiltStreamsAreSeen) {
+TEST(PlatformAnswer, MalformedStreamsAreDetected) {
     for (const auto& bad :
          {std::string("noise\n\n"), std::string(2000, 'x'), std::string("data: [DONE]\n\ndata: x\n\n")}) {
         EventReader reader(1000);
         const auto events = reader.feed("data: a\n\n" + bad);
-        EXPECT_TRUE(reader.spoilt()) << bad;
+        EXPECT_TRUE(reader.malformed()) << bad;
         EXPECT_FALSE(reader.done());
         EXPECT_GE(events.count, 1);
     }
