--- /dev/null
+++ b/src/config/kdl/cursor.hpp
@@ -0,0 +1,65 @@
+// A position in a KDL text: reads it code point by code point, counts lines and columns, and skips white
+// space and comments.
+#pragma once
+
+#include <cstddef>
+#include <string>
+#include <string_view>
+
+#include "config/kdl/characters.hpp"
+#include "config/kdl/kdl.hpp"
+
+namespace chalksail::kdl {
+
+// Thrown by the parser's parts and caught in parse(); never leaves the package.
+struct SyntaxError {
+    Error error;
+};
+[[noreturn]] void fail(Place place, std::string text);
+
+// Copying one saves the position. Throws SyntaxError at invalid or forbidden code points. The text must
+// outlive it.
+class Cursor {
+public:
+    explicit Cursor(std::string_view text);
+
+    // The code point at this position, or kEndOfText.
+    [[nodiscard]] char32_t current() const { return current_; }
+    [[nodiscard]] bool at_end() const { return current_ == kEndOfText; }
+    [[nodiscard]] Place place() const { return place_; }
+    // Bytes from the beginning of the text.
+    [[nodiscard]] std::size_t offset() const { return offset_; }
+    // The byte `ahead` bytes from here, or kEndOfText.
+    [[nodiscard]] char32_t peek(std::size_t ahead) const;
+    [[nodiscard]] bool starts_with(std::string_view text) const;
+
+    void next();
+    // Skips `ascii` if it is next; false if it is not.
+    bool take(std::string_view ascii);
+    // Skips one newline, if it is next.
+    void take_newline();
+    // Reads the longest run of identifier characters, which may be empty.
+    [[nodiscard]] std::string take_identifier();
+
+    // Skips white space, block comments and continued lines; false if there was none.
+    bool skip_node_space();
+    // Skips the same and newlines and line comments.
+    void skip_line_space();
+    void skip_line_comment();
+
+    // Throws SyntaxError for this position.
+    [[noreturn]] void fail(std::string text) const { kdl::fail(place_, std::move(text)); }
+
+private:
+    void load();
+    void skip_block_comment();
+    void skip_line_continuation();
+
+    std::string_view text_;
+    std::size_t offset_ = 0;
+    std::size_t width_ = 0;  // bytes of the current code point
+    char32_t current_ = kEndOfText;
+    Place place_;
+};
+
+}  // namespace chalksail::kdl
--- a/src/config/kdl/kdl.hpp
+++ b/src/config/kdl/kdl.hpp
@@ -1,10 +1,9 @@
-// A reader of the KDL 2 document language (https://kdl.dev/spec). It takes a whole text and gives a tree of
-// nodes, each with the place where it stands, or the first error with line and column. It owns what it
-// returns; it keeps no reference to the text. No I/O, no threads, no exceptions for bad input. Limits:
-// nesting to kMaxDepth.
+// A parser of the KDL 2 document language (https://kdl.dev/spec). It turns a text into a tree of nodes, each
+// with its place, or into the first error with line and column. The result owns its data and does not refer
+// to the text. No I/O, no threads, no exceptions for invalid input.
 //
-// Not accepted, by choice: code points that KDL 2 forbids in documents (bidirectional controls, lone
-// surrogates).
+// Its parts: characters.hpp (code points), cursor.hpp (position, white space, comments), strings.hpp,
+// numbers.hpp, parser.hpp (nodes and values).
 #pragma once
 
 #include <cstddef>
@@ -18,9 +17,10 @@
 
 namespace chalksail::kdl {
 
+// Of nested children; bounds the parser's recursion.
 inline constexpr int kMaxDepth = 64;
 
-// Where something stands: line and column from 1, columns counted in code points.
+// A position in a text: line and column from 1, columns in code points.
 struct Place {
     std::size_t line = 1;
     std::size_t column = 1;
@@ -28,7 +28,7 @@
 
 struct Error {
     Place place;
-    std::string text;
+    std::string text;  // without the place
 };
 
 struct Null {
@@ -37,6 +37,7 @@
 // Whole numbers that fit are std::int64_t; all other numbers are double.
 using Scalar = std::variant<Null, bool, std::int64_t, double, std::string>;
 
+// An argument, or the value of a property.
 struct Value {
     Scalar scalar;
     std::optional<std::string> type;  // the annotation, as in (ms)250
@@ -49,6 +50,7 @@
     Place place;
 };
 
+// `name argument... property=value... { children }`
 struct Node {
     std::string name;
     std::optional<std::string> type;
@@ -65,10 +67,10 @@
     std::vector<Node> nodes;
 };
 
-// Reads a whole document in UTF-8.
+// Parses a document in UTF-8.
 [[nodiscard]] tl::expected<Document, Error> parse(std::string_view text);
 
-// A string as a KDL quoted string, with escapes.
+// The text as a quoted KDL string, with escapes.
 [[nodiscard]] std::string quote(std::string_view text);
 
 }  // namespace chalksail::kdl
--- /dev/null
+++ b/src/config/kdl/strings.cpp
@@ -0,0 +1,180 @@
+#include "config/kdl/strings.hpp"
+
+#include <cctype>
+#include <vector>
+
+namespace chalksail::kdl {
+namespace {
+
+constexpr std::string_view kMultiLineQuote = "\"\"\"";
+constexpr int kMaxEscapeDigits = 6;
+
+// Parses \u{...}, from behind the u. `begin`: of the escape.
+char32_t unicode_escape(Cursor& cursor, Place begin) {
+    if (cursor.current() != '{') cursor.fail("'{' wanted after \\u");
+    cursor.next();
+    char32_t code_point = 0;
+    int count = 0;
+    for (; count < kMaxEscapeDigits; ++count) {
+        const char32_t c = cursor.current();
+        if (c >= 0x80 || std::isxdigit(static_cast<int>(c)) == 0) break;
+        const char32_t digit = is_digit(c) ? c - '0' : (c | 0x20U) - 'a' + 10;
+        code_point = code_point * 16 + digit;
+        cursor.next();
+    }
+    if (count == 0 || cursor.current() != '}') cursor.fail("\\u{...} wants one to six hexadecimal digits");
+    cursor.next();
+    const bool surrogate = code_point >= 0xd800 && code_point <= 0xdfff;
+    if (code_point > 0x10ffff || surrogate) fail(begin, "\\u{...} is no character");
+    return code_point;
+}
+
+// Parses an escape, from its backslash, and appends what it stands for.
+void escape(Cursor& cursor, std::string& out) {
+    cursor.next();  // the backslash
+    if (is_space(cursor.current()) || is_newline(cursor.current())) {
+        while (is_space(cursor.current()) || is_newline(cursor.current())) cursor.next();
+        return;
+    }
+    const Place begin = cursor.place();
+    const char32_t c = cursor.current();
+    cursor.next();
+    switch (c) {
+        case 'n': out += '\n'; return;
+        case 'r': out += '\r'; return;
+        case 't': out += '\t'; return;
+        case 'b': out += '\b'; return;
+        case 'f': out += '\f'; return;
+        case 's': out += ' '; return;
+        case '\\':
+        case '"': out += static_cast<char>(c); return;
+        case 'u': append_utf8(out, unicode_escape(cursor, begin)); return;
+        default: fail(begin, "unknown escape");
+    }
+}
+
+// Fails at the end of the text or of the line, for strings that must end before.
+void expect_string_char(const Cursor& cursor, Place begin) {
+    if (cursor.at_end()) fail(begin, "string without an end");
+    if (is_newline(cursor.current()))
+        cursor.fail("a line ends inside a string (\"\"\" starts one of several lines)");
+}
+
+std::string quoted_string(Cursor& cursor) {
+    const Place begin = cursor.place();
+    cursor.next();
+    std::string out;
+    while (cursor.current() != '"') {
+        expect_string_char(cursor, begin);
+        if (cursor.current() == '\\') {
+            escape(cursor, out);
+        } else {
+            append_utf8(out, cursor.current());
+            cursor.next();
+        }
+    }
+    cursor.next();
+    return out;
+}
+
+// One line of a string of several lines.
+struct Line {
+    std::string text;    // escapes resolved, with its indentation
+    std::string indent;  // literal white space at its beginning
+    bool blank = true;   // nothing but literal white space
+    Place place;
+};
+
+// Reads the lines up to the closing quotes and moves behind these.
+std::vector<Line> read_lines(Cursor& cursor, Place begin, std::size_t hashes) {
+    const std::string close = std::string(kMultiLineQuote) + std::string(hashes, '#');
+    std::vector<Line> lines(1);
+    lines.back().place = cursor.place();
+    while (!cursor.take(close)) {
+        if (cursor.at_end()) fail(begin, "string without an end");
+        Line& line = lines.back();
+        if (is_newline(cursor.current())) {
+            cursor.take_newline();
+            lines.emplace_back().place = cursor.place();
+        } else if (cursor.current() == '\\' && hashes == 0) {
+            line.blank = false;
+            escape(cursor, line.text);
+        } else {
+            if (!is_space(cursor.current())) line.blank = false;
+            if (line.blank) append_utf8(line.indent, cursor.current());
+            append_utf8(line.text, cursor.current());
+            cursor.next();
+        }
+    }
+    return lines;
+}
+
+// The white space before the closing quotes is removed from every line.
+std::string multi_line_string(Cursor& cursor, std::size_t hashes) {
+    const Place begin = cursor.place();
+    cursor.take(kMultiLineQuote);
+    if (!is_newline(cursor.current())) cursor.fail("after \"\"\" a new line must begin");
+    cursor.take_newline();
+    std::vector<Line> lines = read_lines(cursor, begin, hashes);
+    const Line last = std::move(lines.back());
+    lines.pop_back();
+    if (!last.blank) fail(last.place, "the closing \"\"\" must stand on a line of its own");
+    std::string out;
+    for (std::size_t i = 0; i < lines.size(); ++i) {
+        if (i > 0) out += '\n';
+        if (lines[i].blank) continue;
+        if (!lines[i].indent.starts_with(last.indent))
+            fail(lines[i].place, "this line is indented less than the closing \"\"\"");
+        out += lines[i].text.substr(last.indent.size());
+    }
+    return out;
+}
+
+std::string raw_string(Cursor& cursor) {
+    const Place begin = cursor.place();
+    std::size_t hashes = 0;
+    while (cursor.current() == '#') {
+        ++hashes;
+        cursor.next();
+    }
+    if (cursor.current() != '"') fail(begin, "'\"' wanted after '#'");
+    if (cursor.starts_with(kMultiLineQuote)) return multi_line_string(cursor, hashes);
+    const std::string close = "\"" + std::string(hashes, '#');
+    cursor.next();
+    std::string out;
+    while (!cursor.take(close)) {
+        expect_string_char(cursor, begin);
+        append_utf8(out, cursor.current());
+        cursor.next();
+    }
+    return out;
+}
+
+// ".5" and "-.5", which KDL does not allow as identifiers.
+bool looks_like_number(const std::string& identifier) {
+    const std::size_t sign = identifier[0] == '+' || identifier[0] == '-' ? 1 : 0;
+    return identifier.size() > sign + 1 && identifier[sign] == '.' &&
+           is_digit(static_cast<unsigned char>(identifier[sign + 1]));
+}
+
+std::string identifier_string(Cursor& cursor, const char* wanted) {
+    const Place begin = cursor.place();
+    std::string identifier = cursor.take_identifier();
+    if (identifier.empty()) fail(begin, std::string(wanted) + " wanted");
+    if (looks_like_number(identifier))
+        fail(begin, "'" + identifier + "' looks like a number: put it in quotes");
+    for (const char* keyword : {"true", "false", "null", "inf", "-inf", "nan"})
+        if (identifier == keyword) fail(begin, "'" + identifier + "' needs a '#' before it, or quotes");
+    return identifier;
+}
+
+}  // namespace
+
+std::string parse_string(Cursor& cursor, const char* wanted) {
+    if (cursor.current() == '#') return raw_string(cursor);
+    if (cursor.starts_with(kMultiLineQuote)) return multi_line_string(cursor, 0);
+    if (cursor.current() == '"') return quoted_string(cursor);
+    return identifier_string(cursor, wanted);
+}
+
+}  // namespace chalksail::kdl
--- a/src/config/schema.hpp
+++ b/src/config/schema.hpp
@@ -1,12 +1,13 @@
-// Typed reading of KDL nodes: each block names the settings it knows, and all that is left over is an error
-// with its place and the nearest name that would have been right. Errors are gathered, so that one check
-// shows them all.
+// Typed reading of KDL nodes. The reader of a block asks for each setting it knows; what is left over is an
+// error with its place and the nearest known name. Errors are collected, so that one check reports all of
+// them.
 #pragma once
 
 #include <functional>
 #include <set>
 #include <string>
 #include <string_view>
+#include <type_traits>
 #include <vector>
 
 #include "base/units.hpp"
@@ -14,6 +15,7 @@
 
 namespace chalksail::config {
 
+// One error in a settings file.
 struct Problem {
     std::string file;
     kdl::Place place;
@@ -22,6 +24,7 @@
 // "file:line:column: text"
 [[nodiscard]] std::string format(const Problem& problem);
 
+// Collects the errors of one file. Not thread-safe.
 class Problems {
 public:
     explicit Problems(std::string file) : file_(std::move(file)) {}
@@ -33,17 +36,24 @@
     std::vector<Problem> all_;
 };
 
-// The name in `known` that is nearest to `wrong`; empty if none is near.
+// The name in `known` with the smallest edit distance to `wrong`; empty if none is close.
 [[nodiscard]] std::string nearest(std::string_view wrong, const std::set<std::string>& known);
+// "; did you mean 'name'?" with the nearest name, or nothing.
+[[nodiscard]] std::string did_you_mean(std::string_view wrong, const std::set<std::string>& known);
 
 enum class Need { optional, required };
 
-// Reads the children of one node (or the nodes of a document). Call done() last.
+// Reads the children of one node, or the nodes of a document, each a setting. Call done() last.
+//
+// The functions that read one setting return true and set `out` if the setting is there and valid. They leave
+// `out` as it is if the setting is missing, which is a problem only for Need::required, or invalid, which
+// always is one.
 class Block {
 public:
+    // `where`: names the block in problems. `nodes` and `problems` must outlive the block.
     Block(const std::vector<kdl::Node>& nodes, kdl::Place place, std::string where, Problems& problems);
 
-    // A child with exactly one argument: `name value`.
+    // A setting with exactly one value: `name value`.
     bool text(const char* name, std::string& out, Need need = Need::optional);
     bool flag(const char* name, bool& out);
     bool duration(const char* name, Duration& out, Need need = Need::optional);
@@ -52,14 +62,25 @@
                Need need = Need::optional);
     bool real(const char* name, double& out, double least, double most, Need need = Need::optional);
     bool address(const char* name, Address& out, Need need = Need::optional);
-    // A child with one argument out of the words.
+    // A setting with one of these words; `out` is the word's place among them.
     bool word(const char* name, const std::vector<std::string>& words, std::size_t& out,
               Need need = Need::optional);
-    // A child with any number of whole numbers.
+    // The same for an enum whose values are named by the words, in order from 0.
+    template <class Enum>
+    requires std::is_enum_v<Enum>
+    bool word(const char* name, const std::vector<std::string>& words, Enum& out,
+              Need need = Need::optional) {
+        std::size_t place = 0;
+        if (!word(name, words, place, need)) return false;
+        out = static_cast<Enum>(place);
+        return true;
+    }
+    // A setting with any number of whole numbers.
     bool wholes(const char* name, std::vector<int>& out, std::int64_t least, std::int64_t most);
-    // Each child of that name; `read` reads the rest of it. `arguments`: how many strings it must have.
+    // Calls `read` for each setting of that name that has exactly `arguments` strings; any other is a
+    // problem.
     void each(const char* name, std::size_t arguments, const std::function<void(const kdl::Node&)>& read);
-    // Complains of all that was not asked for.
+    // Adds a problem for each setting that was not asked for.
     void done();
 
 private:
@@ -74,10 +95,10 @@
     std::set<std::string> known_;
 };
 
-// The properties of a node, each a string; complains of names that are not in `known`, and of arguments
-// beyond `arguments`.
+// Reads the properties of one node, each a string. A missing one leaves `out` as it is.
 class Properties {
 public:
+    // Adds a problem for each property whose name is not in `known`, and for arguments beyond `arguments`.
     Properties(const kdl::Node& node, std::set<std::string> known, std::size_t arguments, Problems& problems);
     [[nodiscard]] std::string text(const char* name) const;
     [[nodiscard]] bool has(const char* name) const;
--- a/tests/config/kdl_test.cpp
+++ b/tests/config/kdl_test.cpp
@@ -1,4 +1,4 @@
-// The KDL 2 reader: the grammar's corners, and errors with their places.
+// The KDL 2 parser: corner cases of the grammar, and errors with their places.
 #include "config/kdl/kdl.hpp"
 
 #include <gtest/gtest.h>
@@ -87,7 +87,7 @@
     EXPECT_EQ(d.nodes[0].properties[0].value.type, "f");
 }
 
-TEST(Kdl, ErrorsSayWhere) {
+TEST(Kdl, ErrorsHaveAPlace) {
     EXPECT_EQ(fails("a\nb {\n  c \"x\n}").substr(0, 4), "3:7 ");
     EXPECT_EQ(fails("n true").substr(0, 4), "1:3 ");
     EXPECT_EQ(fails("é }").substr(0, 4), "1:3 ");  // columns count characters, not bytes
@@ -101,7 +101,7 @@
     EXPECT_NE(fails(deep).find("deep"), std::string::npos);
 }
 
-TEST(Kdl, QuotedTextComesBack) {
+TEST(Kdl, QuotedTextRoundTrips) {
     EXPECT_TRUE(rc::check("quote then read", [](const std::vector<unsigned char>& raw) {
         std::string text;
         for (const auto c : raw) text += static_cast<char>(c % 0x7f);
@@ -113,7 +113,7 @@
     }));
 }
 
-TEST(Kdl, ChildrenKeepTheirText) {
+TEST(Kdl, ChildrenHaveTheirTextRange) {
     const std::string text = "a { b 1; c }";
     const auto d = good(text);
     EXPECT_EQ(text.substr(d.nodes[0].children_begin, d.nodes[0].children_end - d.nodes[0].children_begin),
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -1,4 +1,4 @@
-// The settings' schema: what is refused, with place and suggestion.
+// The settings' schema: what is rejected, with place and suggestion.
 #include "config/settings.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace chalksail::config {
 namespace {
 
-constexpr const char* kLeast = R"(
+constexpr const char* kMinimal = R"(
 class "chat" { aim "1s"; deadline "4s"; }
 kind "r" { role "prefill"; }
 )";
@@ -19,26 +19,28 @@
     return all;
 }
 
-TEST(Settings, LeastAndDefaults) {
-    const auto out = parse_settings(kLeast, "f");
+TEST(Settings, MinimalFileHasDefaults) {
+    const auto out = parse_settings(kMinimal, "f");
     ASSERT_TRUE(out);
     EXPECT_EQ(out->module.max_attempts, 4);
     EXPECT_EQ(out->listen.host, "127.0.0.1");
     EXPECT_EQ(out->limits.body_bytes, 8U * 1024 * 1024);
 }
 
-TEST(Settings, UnknownNamesAreRefusedWithPlaceAndSuggestion) {
-    const auto said = problems(std::string(kLeast) + "limits {\n  dial-queu 5\n}\nsever \"x\" kind=\"r\"\n");
-    EXPECT_NE(said.find("edge.kdl:5:3: unknown setting 'dial-queu' in 'limits'; did you mean 'dial-queue'?"),
+TEST(Settings, UnknownNamesAreRejectedWithPlaceAndSuggestion) {
+    const auto reported =
+        problems(std::string(kMinimal) + "limits {\n  dial-queu 5\n}\nsever \"x\" kind=\"r\"\n");
+    EXPECT_NE(
+        reported.find("edge.kdl:5:3: unknown setting 'dial-queu' in 'limits'; did you mean 'dial-queue'?"),
+        std::string::npos)
+        << reported;
+    EXPECT_NE(reported.find("edge.kdl:7:1: unknown setting 'sever' in the settings; did you mean 'server'?"),
               std::string::npos)
-        << said;
-    EXPECT_NE(said.find("edge.kdl:7:1: unknown setting 'sever' in the settings; did you mean 'server'?"),
-              std::string::npos)
-        << said;
+        << reported;
 }
 
-TEST(Settings, AllProblemsAreSaidAtOnce) {
-    const auto said = problems(R"(
+TEST(Settings, AllProblemsAreReportedAtOnce) {
+    const auto reported = problems(R"(
 class "chat" { aim "5s"; deadline "4s"; effect "twice"; when is="x"; }
 class "chat" { deadline "4s"; }
 kind "r" { role "reader"; }
@@ -52,16 +54,16 @@
           "'is' goes with", "needs 'aim'", "class 'chat' is given twice", "'role' wants one of",
           "unknown kind 'q'", "needs address=", "server 'a' is given twice", "has no 'color'",
           "unknown setting 'tick'", "a time such as", "from 1 to 16"})
-        EXPECT_NE(said.find(wanted), std::string::npos) << wanted << " in\n" << said;
+        EXPECT_NE(reported.find(wanted), std::string::npos) << wanted << " in\n" << reported;
 }
 
-TEST(Settings, EmptyFileSaysWhatIsNeeded) {
-    const auto said = problems("");
-    EXPECT_NE(said.find("need a 'class'"), std::string::npos);
-    EXPECT_NE(said.find("need a 'kind'"), std::string::npos);
+TEST(Settings, EmptyFileReportsWhatIsRequired) {
+    const auto reported = problems("");
+    EXPECT_NE(reported.find("need a 'class'"), std::string::npos);
+    EXPECT_NE(reported.find("need a 'kind'"), std::string::npos);
 }
 
-TEST(Settings, UnitsAreChecked) {
+TEST(Settings, UnitsAreValidated) {
     EXPECT_EQ(parse_duration("1.5s"), std::chrono::milliseconds(1500));
     EXPECT_EQ(parse_duration("250us"), std::chrono::microseconds(250));
     for (const char* bad : {"", "5", "s", "-1s", "1e3s", "nans", "infs", "99999999h", "5 s"})
