--- a/src/core/edge.cpp
+++ b/src/core/edge.cpp
@@ -12,8 +12,11 @@
 namespace chalksail::core {
 
 using engine::Ending;
+using observe::GuardReason;
+using observe::HeldAction;
 using observe::ReleaseReason;
 using observe::Termination;
+using observe::TerminationReason;
 
 namespace {
 
@@ -52,29 +55,13 @@
     : settings_(settings),
       routing_policy_(std::move(routing_policy)),
       protocol_(make_protocol(settings)),
-      verification_({settings.limits.unverified_backoff, settings.limits.unverified_backoff_max}) {
-    const bool any = std::any_of(settings_.kinds.begin(), settings_.kinds.end(),
-                                 [](const auto& k) { return k.cache_events; });
-    if (!any) return;
-    prefix::ReportedCaches::Limits limits;
-    limits.index.blocks_each = static_cast<std::size_t>(settings_.cache_events.blocks_per_server);
-    limits.decode.bytes = settings_.cache_events.message_bytes;
-    limits.held_batches = static_cast<std::size_t>(settings_.cache_events.held_batches);
-    prefix::TokenText text = engine::four_bytes_of;
-    if (settings_.cache_events.vocabulary == config::Vocabulary::tokenizer) {
-        if (vocabulary == nullptr) throw std::invalid_argument("cache-events: the tokenizer is missing");
-        text = [vocabulary = std::move(vocabulary)](prefix::Token token, std::string& out) {
-            return vocabulary->text(token, out);
-        };
-    }
-    prefixes_ = std::make_unique<prefix::ReportedCaches>(std::move(text), limits);
-}
+      endpoints_({settings.limits.unverified_backoff, settings.limits.unverified_backoff_max}),
+      cache_index_(settings_, std::move(vocabulary)) {}
 Edge::~Edge() = default;
 
 std::vector<Output> Edge::step(Time now, std::vector<Input> inputs) {
     // Guards against a clock that jumps back: time stands still until it has caught up.
     now_ = std::max(now_, now);
-    effects_.clear();
     // What went out counts first, wherever it stands among the rest: a list, a hang-up or a time-out in the
     // same turn must not take an attempt for one that never left, and so for one that is proved not to have
     // run.
@@ -86,20 +73,19 @@
     fire_due();
     run_module();
     release_pending();
-    try_verification();
-    return std::exchange(effects_, {});
+    begin_verifications();
+    return output_.take_effects();
 }
 
 std::optional<Time> Edge::next_wake() const {
     std::optional<Time> out;
     const auto want = [&](Time at) { out = out ? std::min(*out, at) : at; };
-    if (!events_.empty()) want(now_);
+    if (output_.has_events()) want(now_);
     if (!due_.empty()) want(due_.begin()->first);
     if (!call_due_.empty()) want(call_due_.begin()->first);
     if (!wakes_.empty()) want(wakes_.begin()->first);
-    if (const auto trial = verification_.next()) want(*trial);
-    for (const auto& [server, at] : replays_) want(at);
-    if (!followed_.empty() && next_keep_ != Time::max()) want(next_keep_);
+    if (const auto at = endpoints_.next_verification()) want(*at);
+    if (const auto at = cache_index_.next_timer()) want(*at);
     return out;
 }
 
@@ -109,13 +95,13 @@
             calls_.size(),
             held_,
             routing_policy_->tracked_requests(),
-            verification_.count(),
-            prefixes_ == nullptr ? prefix::ReportedCaches::Counts{} : prefixes_->counts()};
+            endpoints_.unverified_count(),
+            cache_index_.counts()};
 }
 
 std::vector<membership::EndpointConfig> Edge::endpoints() const {
     std::vector<membership::EndpointConfig> out;
-    for (const auto& [id, s] : servers_) out.push_back(s);
+    for (const auto& [id, config] : endpoints_.all()) out.push_back(config);
     return out;
 }
 
@@ -136,7 +122,7 @@
 // ================= clients =================
 
 void Edge::reply(ClientId client, Answer answer) {
-    emit(SendResponse{client, answer.status, std::move(answer.headers), std::move(answer.body)});
+    output_.emit(SendResponse{client, answer.status, std::move(answer.headers), std::move(answer.body)});
 }
 
 void Edge::on(ClientRequest& in) {
@@ -146,27 +132,27 @@
 
 void Edge::take(ClientId client, http::Request& request) {
     const std::uint64_t number = ++last_request_;
-    const auto reject = [&](Rejection why, Termination fate, const char* reason) {
+    const auto reject = [&](Rejection why, Termination termination, TerminationReason reason) {
         observe::RequestRecord record;
         record.request = std::move(why.name);
         record.client_request = std::move(why.client_name);
-        record.fate = fate;
+        record.termination = termination;
         record.status = why.answer.status;
         record.reason = reason;
-        emit(EmitRecord{record});
+        output_.record(record);
         reply(client, std::move(why.answer));
     };
     using RejectionReason = Protocol::RejectionReason;
     if (draining_)
         return reject(protocol_->reject(request, number, RejectionReason::draining), Termination::refused,
-                      "draining");
+                      TerminationReason::draining);
     if (unanswered_ >= static_cast<std::size_t>(settings_.limits.open_requests) ||
         request_bytes_ + request.body.size() > settings_.limits.request_bytes)
         return reject(protocol_->reject(request, number, RejectionReason::limit), Termination::refused,
-                      "limit");
+                      TerminationReason::limit);
     const std::size_t bytes = request.body.size();
     auto in = protocol_->parse(request, number);
-    if (!in) return reject(std::move(in.error()), Termination::rejected, "invalid");
+    if (!in) return reject(std::move(in.error()), Termination::rejected, TerminationReason::invalid);
     auto open = std::make_unique<ActiveRequest>();
     ActiveRequest& r = *open;
     r.id = {number};
@@ -193,12 +179,12 @@
     arrived.max_output = r.in.max_output;
     arrived.retry = r.in.retry;
     arrived.resumes_stream = r.in.again;
-    if (prefixes_ != nullptr) {
-        r.claims = claims(r);
-        for (const auto& c : r.claims)
-            if (prefixes_->trusted(c.server.value)) arrived.cached_prefixes.push_back(c);
+    if (cache_index_.enabled()) {
+        r.reported_prefixes = cache_index_.cached_prefixes(r.in.protocol_session->prompt_text());
+        for (const auto& cached : r.reported_prefixes)
+            if (cache_index_.trusted(cached.server.value)) arrived.cached_prefixes.push_back(cached);
     }
-    events_.emplace_back(std::move(arrived));
+    output_.notify(std::move(arrived));
 
     by_client_[client.value] = r.id;
     unanswered_ += 1;
@@ -210,20 +196,20 @@
     ActiveRequest* r = find(in.client);
     if (r == nullptr || r->answered) return;
     const RequestId id = r->id;
-    events_.emplace_back(ClientDisconnected{id});
+    output_.notify(ClientDisconnected{id});
     if (!in.detail.empty())
         r->attempt_history += (r->attempt_history.empty() ? "client:" : " client:") + in.detail;
     finish(*r, Termination::client_gone, 0,
-           r->started ? "hung_up_streaming"
-           : r->call  ? "hung_up_attempt"
-                      : "hung_up_held");
+           r->started ? TerminationReason::hung_up_streaming
+           : r->call  ? TerminationReason::hung_up_attempt
+                      : TerminationReason::hung_up_held);
     // A stream that nobody reads ends; the module never calls off a started one by itself. One that has not
     // started is the module's to call off, once it hears that the client is gone.
     // Nor does one begin for nobody that waits for its connection: in the dial queue, or at a server that is
     // slow to take it.
     if (r->call && (r->started || !may_have_come(calls_.at(*r->call)))) {
         const CallId call = *r->call;
-        emit(CallAbort{call});
+        output_.emit(CallAbort{call});
         return end_attempt(call, Ending::cancelled, "client gone");
     }
     // Where it may not be called off it goes on to its end; nothing that is held waits for that.
@@ -238,11 +224,11 @@
     std::sort(all.begin(), all.end());
     for (const RequestId id : all) {
         ActiveRequest& r = *find(id);
-        events_.emplace_back(ClientDisconnected{id});
-        fail(r, 503, "drain", "this gateway has ended");
+        output_.notify(ClientDisconnected{id});
+        fail(r, 503, TerminationReason::drain, "this gateway has ended");
         if (r.call) {
             const CallId call = *r.call;
-            emit(CallAbort{call});
+            output_.emit(CallAbort{call});
             end_attempt(call, Ending::cancelled, "drain");
         } else {
             drop_if_over(id);
@@ -257,7 +243,7 @@
     if (call.paused == in.full) return;
     call.paused = in.full;
     r->last_chunk = now_;
-    emit(SetCallPaused{call.id, in.full});
+    output_.emit(SetCallPaused{call.id, in.full});
 }
 
 // ================= calls =================
@@ -278,7 +264,7 @@
     if (it == calls_.end()) return;
     UpstreamCall& call = it->second;
     call.sent = true;
-    heard_.spoke(call.server, now_);
+    endpoints_.record_activity(call.server, now_);
     call.status = in.status;
     call.head = protocol_->read_head(in.status, in.headers);
     if (call.kind == CallKind::attempt && !call.read && in.status == 200)
@@ -294,7 +280,7 @@
         call.body += in.bytes;
         return;
     }
-    emit(CallAbort{call.id});
+    output_.emit(CallAbort{call.id});
     if (call.kind == CallKind::attempt) return end_attempt(call.id, Ending::bad_answer, "answer too large");
     const UpstreamCall over = std::move(call);
     calls_.erase(it);
@@ -307,22 +293,22 @@
     auto progress = call.answer->feed(bytes);
     if (progress.events > 0) {
         if (r.answered) {  // its client has gone, and the module may not call attempts off
-            emit(CallAbort{id});
+            output_.emit(CallAbort{id});
             return end_attempt(id, Ending::cancelled, "client gone");
         }
         r.last_chunk = now_;
-        heard_.spoke(call.server, now_);
+        endpoints_.record_activity(call.server, now_);
         r.chunks += progress.events;
         if (!r.started) begin_stream(r, call);
-        if (!progress.to_client.empty()) emit(StreamBytes{r.client, std::move(progress.to_client)});
+        if (!progress.to_client.empty()) output_.emit(StreamBytes{r.client, std::move(progress.to_client)});
     }
     switch (progress.state) {
         case DecodeResponseParser::State::more: return;
         case DecodeResponseParser::State::whole:
-            emit(CompleteCall{id});
+            output_.emit(CompleteCall{id});
             return end_attempt(id, Ending::answered, "");
         case DecodeResponseParser::State::spoilt:
-            emit(CallAbort{id});
+            output_.emit(CallAbort{id});
             return end_attempt(id, Ending::bad_answer, progress.detail);
     }
 }
@@ -332,9 +318,9 @@
     r.started = true;
     r.first_chunk = now_;
     started_ += 1;
-    events_.emplace_back(StreamStarted{r.id, call.attempt, {call.server}, now_ - call.begun});
+    output_.notify(StreamStarted{r.id, call.attempt, {call.server}, now_ - call.begun});
     if (r.held) {  // the writer has fetched it
-        note_held("fetched", r.in.name, call.server, ReleaseReason::none, r.held->since);
+        record_held(HeldAction::fetched, r.in.name, call.server, ReleaseReason::none, r.held->since);
         r.held.reset();
         held_ -= 1;
     }
@@ -344,7 +330,7 @@
     if (r.moves_at != Time{}) look = std::min(look, r.moves_at);
     arm(r, streams ? look : std::min(look, r.deadline));
     drop_body(r);
-    if (streams) emit(StreamBegin{r.client, r.in.protocol_session->stream_head()});
+    if (streams) output_.emit(StreamBegin{r.client, r.in.protocol_session->stream_head()});
 }
 
 void Edge::on(const CallDone& in) {
@@ -400,7 +386,7 @@
     }
     settle_held(r, call, end);
     note_attempt(r, call, end, detail);
-    events_.emplace_back(std::move(ended));
+    output_.notify(std::move(ended));
     if (!r.answered) answer_behind(r, call, end, detail);
     drop_if_over(call.request);
 }
@@ -429,27 +415,23 @@
     if (call.read || engine::proves_not_run(end.judged.outcome)) return;
     if (std::exchange(r.may_have_run, true)) return;
     r.first_run_begun = call.begun;
-    if (const auto s = servers_.find({call.server}); s != servers_.end()) r.first_run_at = s->second.endpoint;
+    if (const auto* const server = endpoints_.find(call.server)) r.first_run_at = server->endpoint;
 }
 
 void Edge::take_read_answer(ActiveRequest& r, const UpstreamCall& call, const PrefillResult& answer) {
-    if (prefixes_ != nullptr) {
-        const auto claim = std::find_if(r.claims.begin(), r.claims.end(),
-                                        [&](const auto& c) { return c.server.value == call.server; });
-        const double prompt = answer.prompt_tokens > 0 ? answer.prompt_tokens : r.in.prompt_tokens;
-        const double claimed = claim == r.claims.end() ? 0 : claim->tokens;
-        prefixes_->observed(call.server, {prompt, claimed, answer.cached_tokens, now_ - call.begun});
-        tell_prefixes();
-    }
+    const double prompt = answer.prompt_tokens > 0 ? answer.prompt_tokens : r.in.prompt_tokens;
+    cache_index_.record_prefill(
+        call.server, {prompt, r.reported_tokens(call.server), answer.cached_tokens, now_ - call.begun},
+        output_);
     if (answer.prompt_tokens > 0) {
         r.counted_prompt_tokens = answer.prompt_tokens;
         r.in.protocol_session->set_prompt_tokens(answer.prompt_tokens);
     }
-    const auto at = servers_.find({call.server});
-    r.held = ActiveRequest::Held{at == servers_.end() ? membership::EndpointConfig{} : at->second,
-                                 answer.state, call.attempt.value, now_};
+    const auto* const at = endpoints_.find(call.server);
+    r.held = ActiveRequest::Held{at == nullptr ? membership::EndpointConfig{} : *at, answer.state,
+                                 call.attempt.value, now_};
     held_ += 1;
-    note_held("held", r.in.name, call.server, ReleaseReason::none, now_);
+    record_held(HeldAction::held, r.in.name, call.server, ReleaseReason::none, now_);
 }
 
 void Edge::note_attempt(ActiveRequest& r, const UpstreamCall& call, const AttemptResult& end,
@@ -459,9 +441,9 @@
                          (call.read ? ":read:" : ":write:") + r.last_outcome + "/" +
                          std::to_string(whole_ms(now_ - call.begun)) + "ms" +
                          (detail.empty() ? "" : " (" + detail + ")");
-    emit(EmitRecord{observe::AttemptRecord{
-        r.in.name, call.attempt.value, call.server, call.read, engine::name(end.judged.outcome), call.status,
-        call.sent, r.started && !call.read, now_ - call.begun, detail, call.written}});
+    output_.record(observe::AttemptRecord{r.in.name, call.attempt.value, call.server, call.read,
+                                          engine::name(end.judged.outcome), call.status, call.sent,
+                                          r.started && !call.read, now_ - call.begun, detail, call.written});
 }
 
 // The final answer, where this attempt's end calls for one by itself; else the module decides what follows.
@@ -469,19 +451,19 @@
                          const std::string& detail) {
     if (end.judged.client_error) {
         reply(r.client, r.in.protocol_session->verdict(call.status, call.head, call.body));
-        finish(r, Termination::rejected, call.status, "engine");
+        finish(r, Termination::rejected, call.status, TerminationReason::engine);
     } else if (end.judged.outcome == AttemptOutcome::ok) {
         if (r.in.protocol_session->streams()) {
             if (auto tail = r.in.protocol_session->stream_tail(); !tail.empty())
-                emit(StreamBytes{r.client, std::move(tail)});
-            emit(StreamEnd{r.client});
+                output_.emit(StreamBytes{r.client, std::move(tail)});
+            output_.emit(StreamEnd{r.client});
         } else {
             reply(r.client, r.in.protocol_session->collected());
         }
-        finish(r, Termination::served, 200, "served");
+        finish(r, Termination::served, 200, TerminationReason::served);
     } else if (r.started) {
         const bool late = end.ending == Ending::timed_out;
-        fail(r, late ? 504 : 502, late ? "stream_time" : "broken_stream",
+        fail(r, late ? 504 : 502, late ? TerminationReason::stream_time : TerminationReason::broken_stream,
              "the answer broke off: " + (detail.empty() ? r.last_outcome : detail));
     }
 }
@@ -495,8 +477,8 @@
         case CallKind::lease: return end_lease(call, ending);
         case CallKind::verify:
             std::erase_if(call_due_, [&](const auto& d) { return d.second == call.id; });
-            if (ending == Ending::answered) verified(call.server);
-            else if (ending != Ending::unverified) verification_.inconclusive(call.server, now_);
+            if (ending == Ending::answered) endpoints_.mark_verified(call.server, output_);
+            else if (ending != Ending::unverified) endpoints_.verification_inconclusive(call.server, now_);
             return;
     }
 }
@@ -504,8 +486,8 @@
 // ================= the module's actions =================
 
 void Edge::run_module() {
-    for (int round = 0; !events_.empty() && round < kModuleRounds; ++round) {
-        const auto events = std::exchange(events_, {});
+    for (int round = 0; output_.has_events() && round < kModuleRounds; ++round) {
+        const auto events = output_.take_events();
         for (const auto& action : routing_policy_->step(now_, events))
             std::visit([this](const auto& a) { apply(a); }, action);
     }
@@ -513,17 +495,16 @@
 
 // The module keeps these by itself; here each edge makes sure. What is stopped is told to the module as never
 // sent.
-std::string Edge::guard(const ActiveRequest& r, const Send& action) const {
-    if (r.answered) return "send after the final answer";
-    if (r.call) return "second attempt while one is out";
-    if (r.attempts >= settings_.module.max_attempts) return "over the attempt limit";
-    if (now_ >= r.deadline) return "send after the deadline";
-    const auto s = servers_.find(action.server);
-    if (s == servers_.end()) return "unknown server";
-    if (s->second.endpoint.state != EndpointState::up || verification_.unverified(action.server.value))
-        return "server not in service";
-    if (!repeat_allowed(r, action.server.value, now_)) return "an earlier attempt may have run";
-    return {};
+std::optional<GuardReason> Edge::guard(const ActiveRequest& r, const Send& action) const {
+    if (r.answered) return GuardReason::send_after_final_answer;
+    if (r.call) return GuardReason::second_attempt_in_flight;
+    if (r.attempts >= settings_.module.max_attempts) return GuardReason::attempt_limit;
+    if (now_ >= r.deadline) return GuardReason::send_after_deadline;
+    if (endpoints_.find(action.server.value) == nullptr) return GuardReason::unknown_server;
+    if (!endpoints_.is_up(action.server.value) || endpoints_.unverified(action.server.value))
+        return GuardReason::server_not_in_service;
+    if (!repeat_allowed(r, action.server.value, now_)) return GuardReason::earlier_attempt_may_have_run;
+    return std::nullopt;
 }
 
 bool Edge::repeat_allowed(const ActiveRequest& r, const std::string& server, Time now) const {
@@ -531,12 +512,12 @@
     if (!r.may_have_run || cls.idempotency == Idempotency::idempotent) return true;
     if (cls.idempotency == Idempotency::non_idempotent || now >= r.first_run_begun + cls.deduplication_window)
         return false;
-    const auto s = servers_.find({server});
-    if (s == servers_.end()) return false;
+    const auto* const to = endpoints_.find(server);
+    if (to == nullptr) return false;
     switch (cls.deduplication_scope) {
         case DeduplicationScope::all: return true;
-        case DeduplicationScope::zone: return s->second.endpoint.zone == r.first_run_at.zone;
-        case DeduplicationScope::cell: return s->second.endpoint.cell == r.first_run_at.cell;
+        case DeduplicationScope::zone: return to->endpoint.zone == r.first_run_at.zone;
+        case DeduplicationScope::cell: return to->endpoint.cell == r.first_run_at.cell;
     }
     return false;
 }
@@ -562,16 +543,16 @@
         r->deferred = action;
         return arm(*r, r->deadline);
     }
-    const auto against = guard(*r, action);
+    const auto reason = guard(*r, action);
     const auto attempt = r->attempts++;
-    if (!against.empty()) {
-        emit(EmitRecord{observe::GuardRecord{r->in.name, against}});
+    if (reason) {
+        output_.record(observe::GuardRecord{r->in.name, *reason});
         if (!r->call)
-            events_.emplace_back(AttemptEnded{
+            output_.notify(AttemptEnded{
                 r->id, {attempt}, action.server, AttemptOutcome::not_sent, {}, r->answered, false, 0, {}});
         return;
     }
-    const membership::EndpointConfig& s = servers_.at(action.server);
+    const membership::EndpointConfig& s = *endpoints_.find(action.server.value);
     const bool read = role_of(s.endpoint.kind) == Role::prefill;
 
     Call call;
@@ -596,7 +577,7 @@
     arm(*r, attempt_due(*r, out));
     r->call = out.id;
     calls_.emplace(out.id, std::move(out));
-    emit(std::move(call));
+    output_.emit(std::move(call));
 }
 
 void Edge::apply(const Reject& action) {
@@ -605,14 +586,14 @@
     const bool once_ran =
         r->may_have_run && settings_.module.classes[r->in.cls].idempotency == Idempotency::non_idempotent;
     if (once_ran || r->started) {
-        emit(EmitRecord{observe::GuardRecord{r->in.name, "refusal of what may have run"}});
-        fail(*r, 502, "attempts", "the request failed");
+        output_.record(observe::GuardRecord{r->in.name, GuardReason::refusal_of_what_may_have_run});
+        fail(*r, 502, TerminationReason::attempts, "the request failed");
         return drop_if_over(action.id);
     }
     auto answer = r->in.protocol_session->refusal(action.retry_after);
     const int status = answer.status;
     reply(r->client, std::move(answer));
-    const std::string reason = r->attempts == 0 ? "held" : "attempts";
+    const auto reason = r->attempts == 0 ? TerminationReason::held : TerminationReason::attempts;
     finish(*r, Termination::refused, status, reason);
     drop_if_over(action.id);
 }
@@ -621,7 +602,7 @@
     ActiveRequest* r = find(action.id);
     if (r == nullptr || r->answered) return;
     const bool late = now_ >= r->deadline;
-    fail(*r, late ? 504 : 502, late ? "deadline" : "attempts",
+    fail(*r, late ? 504 : 502, late ? TerminationReason::deadline : TerminationReason::attempts,
          late ? "no answer in time"
               : "the servers failed this request" +
                     (r->last_outcome.empty() ? "" : " (" + r->last_outcome + ")"));
@@ -643,11 +624,11 @@
     UpstreamCall& call = calls_.at(id);
     const bool answer_counts = call.read && call.written && !find(call.request)->answered;
     if (!answer_counts || !protocol_->half_close_cancels()) {
-        emit(CallAbort{id});
+        output_.emit(CallAbort{id});
         return end_attempt(id, Ending::cancelled, "called off");
     }
     if (std::exchange(call.called_off, true)) return;
-    emit(HalfCloseCall{id});
+    output_.emit(HalfCloseCall{id});
     call_due_.emplace(now_ + settings_.limits.cancel_wait, id);
 }
 
@@ -657,9 +638,9 @@
     if (r == nullptr || !r->started || r->answered || !r->call || !settings_.module.stream_resumption_enabled)
         return;
     const CallId id = *r->call;
-    emit(CallAbort{id});
-    emit(AbortStream{r->client});
-    finish(*r, Termination::failed, 0, "moved");
+    output_.emit(CallAbort{id});
+    output_.emit(AbortStream{r->client});
+    finish(*r, Termination::failed, 0, TerminationReason::moved);
     end_attempt(id, Ending::cancelled, "moved");
 }
 
@@ -691,7 +672,7 @@
 
 void Edge::fire_due() {
     while (!wakes_.empty() && wakes_.begin()->first <= now_) {
-        events_.emplace_back(TimerFired{wakes_.begin()->second});
+        output_.notify(TimerFired{wakes_.begin()->second});
         wakes_.erase(wakes_.begin());
     }
     while (!call_due_.empty() && call_due_.begin()->first <= now_) {
@@ -699,7 +680,7 @@
         call_due_.erase(call_due_.begin());
         const auto it = calls_.find(id);
         if (it == calls_.end()) continue;
-        emit(CallAbort{id});
+        output_.emit(CallAbort{id});
         if (it->second.kind == CallKind::attempt) {
             end_attempt(id, Ending::cancelled, "called off");
             continue;
@@ -708,16 +689,7 @@
         calls_.erase(it);
         end_other(call, Ending::timed_out, "");
     }
-    keep_snapshot();
-    for (auto it = replays_.begin(); it != replays_.end();) {
-        if (it->second > now_) {
-            ++it;
-            continue;
-        }
-        prefixes_->replay_ended(it->first);
-        it = replays_.erase(it);
-        tell_prefixes();
-    }
+    cache_index_.run_timers(now_, output_);
     while (!due_.empty() && due_.begin()->first <= now_) {
         const RequestId id = due_.begin()->second;
         ActiveRequest& r = *find(id);
@@ -737,14 +709,14 @@
                 continue;
             }
             const CallId call = *r.call;
-            emit(CallAbort{call});
+            output_.emit(CallAbort{call});
             end_attempt(call, Ending::timed_out, now_ >= last ? "time is over" : "silent stream");
         } else if (r.call && now_ < ends_at(r, calls_.at(*r.call))) {
             look_at_unanswered(r);
         } else if (r.call) {
             const CallId call = *r.call;
             const bool own = now_ < r.deadline;  // the module's own time-out of this attempt
-            emit(CallAbort{call});
+            output_.emit(CallAbort{call});
             if (own) arm(r, r.deadline);
             else arm(r, now_ + 2 * settings_.module.tick);
             r.overdue = !own;
@@ -759,11 +731,11 @@
             // chance.
             r.overdue = true;
             arm(r, now_ + 2 * settings_.module.tick);
-            events_.emplace_back(TimerFired{{0}});
+            output_.notify(TimerFired{{0}});
         } else {
-            emit(EmitRecord{observe::GuardRecord{r.in.name, "no final answer at the deadline"}});
-            events_.emplace_back(ClientDisconnected{id});
-            fail(r, 504, "deadline", "no answer in time");
+            output_.record(observe::GuardRecord{r.in.name, GuardReason::no_final_answer_at_deadline});
+            output_.notify(ClientDisconnected{id});
+            fail(r, 504, TerminationReason::deadline, "no answer in time");
             drop_if_over(id);
         }
     }
@@ -771,20 +743,20 @@
 
 // ================= ends =================
 
-void Edge::fail(ActiveRequest& r, int status, std::string reason, std::string message) {
+void Edge::fail(ActiveRequest& r, int status, TerminationReason reason, std::string message) {
     if (r.started && r.in.protocol_session->streams()) {
         auto last = r.in.protocol_session->stream_error(status, message);
         if (last) {
-            emit(StreamBytes{r.client, std::move(*last)});
-            emit(StreamEnd{r.client});
+            output_.emit(StreamBytes{r.client, std::move(*last)});
+            output_.emit(StreamEnd{r.client});
         } else {
-            emit(AbortStream{r.client});
+            output_.emit(AbortStream{r.client});
         }
     } else {
         const bool repeatable = settings_.module.classes[r.in.cls].idempotency == Idempotency::idempotent;
         reply(r.client, r.in.protocol_session->failure(status, message, repeatable || !r.may_have_run));
     }
-    finish(r, Termination::failed, status, std::move(reason));
+    finish(r, Termination::failed, status, reason);
 }
 
 void Edge::drop_body(ActiveRequest& r) {
@@ -792,7 +764,7 @@
     request_bytes_ -= std::exchange(r.body_bytes, 0);
 }
 
-void Edge::finish(ActiveRequest& r, Termination fate, int status, std::string reason) {
+void Edge::finish(ActiveRequest& r, Termination termination, int status, TerminationReason reason) {
     r.answered = true;
     unanswered_ -= 1;
     if (r.started) started_ -= 1;
@@ -803,9 +775,9 @@
     record.client_request = r.in.client_name;
     record.class_name = settings_.module.classes[r.in.cls].name;
     record.tenant = r.in.tenant;
-    record.fate = fate;
+    record.termination = termination;
     record.status = status;
-    record.reason = std::move(reason);
+    record.reason = reason;
     record.total = now_ - r.arrived;
     if (r.started) record.first_token = r.first_chunk - r.arrived;
     record.prompt_tokens = r.in.prompt_tokens;
@@ -814,7 +786,7 @@
     record.chunks = r.chunks;
     record.streamed = r.in.protocol_session->streams();
     record.attempt_history = r.attempt_history;
-    emit(EmitRecord{std::move(record)});
+    output_.record(std::move(record));
     drop_body(r);
 }
 
@@ -845,8 +817,67 @@
     out.server_kind = call.server_kind;
     out.begun = now_;
     call_due_.emplace(due, out.id);
-    emit(std::move(call));
+    output_.emit(std::move(call));
     return calls_.emplace(out.id, std::move(out)).first->second;
 }
 
+// ================= endpoints =================
+
+void Edge::on(const membership::EndpointList& in) {
+    const auto unavailable = endpoints_.apply(in, now_, output_);
+    cache_index_.follow(endpoints_.all(), now_, output_);
+    withhold(unavailable);
+    // Endpoints with a call out stay until it has ended; KV states keep their server's address themselves.
+    std::set<std::string> in_use;
+    for (const auto& [id, call] : calls_) in_use.insert(call.server);
+    for (const auto& server : endpoints_.forget_removed(in_use)) {
+        no_release_.erase(server);
+        output_.emit(EndpointForgotten{server});
+    }
+}
+
+void Edge::withhold(const std::set<std::string>& servers) {
+    std::vector<CallId> waiting;
+    for (const auto& [id, call] : calls_)
+        if (call.kind == CallKind::attempt && !call.sent && servers.contains(call.server))
+            waiting.push_back(id);
+    for (const CallId id : waiting) {
+        output_.emit(CallAbort{id});
+        end_attempt(id, Ending::withdrawn, "list");
+    }
+}
+
+void Edge::mark_unverified(const std::string& server, const std::string& detail) {
+    // What still waits for a connection there would fail the same way, and cost a handshake each.
+    if (endpoints_.mark_unverified(server, detail, now_, output_)) withhold({server});
+}
+
+void Edge::begin_verifications() {
+    for (const auto& server : endpoints_.due_verifications(now_))
+        call_out(CallKind::verify, server, {}, now_ + settings_.limits.release_timeout);
+}
+
+void Edge::end_probe(const UpstreamCall& call, Ending ending) {
+    engine::Facts facts;
+    facts.ending = ending;
+    facts.sent = call.sent;
+    facts.complete = true;
+    facts.status = call.status;
+    auto outcome = engine::judge(facts).outcome;
+    if (outcome == AttemptOutcome::ok && call.status != 200)
+        outcome = AttemptOutcome::error;  // no /health: not known to be well
+    auto report = protocol_->probe_report(call.head, call.body);
+    std::erase_if(call_due_, [&](const auto& d) { return d.second == call.id; });
+    output_.record(
+        observe::ServerRecord{call.server, observe::ServerAction::probe, std::string(engine::name(outcome))});
+    output_.notify(HealthCheckEnded{{call.server}, outcome, now_ - call.begun, std::move(report)});
+}
+
+void Edge::apply(const HealthCheck& action) {
+    const auto* const server = endpoints_.find(action.server.value);
+    if (server == nullptr || endpoints_.unverified(action.server.value))
+        return output_.notify(HealthCheckEnded{action.server, AttemptOutcome::not_sent, {}, {}});
+    call_out(CallKind::probe, *server, protocol_->probe(), now_ + settings_.limits.release_timeout);
+}
+
 }  // namespace chalksail::core
--- a/src/core/edge.hpp
+++ b/src/core/edge.hpp
@@ -28,164 +28,22 @@
 
 #include "base/units.hpp"
 #include "config/settings.hpp"
-#include "core/last_activity.hpp"
+#include "core/cache_index.hpp"
+#include "core/effects.hpp"
+#include "core/endpoint_registry.hpp"
+#include "core/inputs.hpp"
 #include "core/protocol.hpp"
 #include "core/routing_policy.hpp"
+#include "core/step_output.hpp"
 #include "engine/outcome.hpp"
 #include "engine/vocabulary.hpp"
 #include "http/message.hpp"
 #include "membership/endpoint_list.hpp"
-#include "membership/verification.hpp"
 #include "observe/record.hpp"
 #include "prefix/reported_caches.hpp"
 
 namespace chalksail::core {
 
-using ClientId = Strong<struct ClientTag, std::uint64_t>;
-using CallId = Strong<struct CallTag, std::uint64_t>;
-
-// ---- inputs ----
-
-struct ClientRequest {
-    ClientId client;
-    http::Request request;
-};
-struct ClientClosed {  // it hung up, or the shell gave it up
-    ClientId client;
-    std::string detail = {};  // for the log: who ended it, and with what error
-};
-struct ClientBacklog {  // bytes wait for it above the limit, or no longer
-    ClientId client;
-    bool full = false;
-};
-struct CallSent {  // its first byte was handed to a connection
-    CallId call;
-};
-struct CallWritten {  // its last byte was
-    CallId call;
-};
-struct CallHead {
-    CallId call;
-    int status = 0;
-    http::Headers headers;
-};
-struct CallBody {
-    CallId call;
-    std::string bytes;
-};
-struct CallDone {  // the answer came to its proper end
-    CallId call;
-};
-struct CallFailed {
-    CallId call;
-    engine::Ending ending = engine::Ending::closed;
-    std::string detail;
-};
-struct CacheEventMessage {  // of a server's cache events, or of a replay of past ones
-    std::string server;
-    std::uint64_t sequence = 0;
-    std::string payload;
-    bool replayed = false;
-};
-struct CacheReplayEnded {  // all past ones that it has are in, or it can't be had
-    std::string server;
-};
-struct CacheSnapshots {  // by server: what StoreCacheSnapshot gave before this edge started
-    std::map<std::string, std::string> by_server;
-};
-struct TrustStoreChanged {};  // what servers are verified against is not what it was
-// This gateway ends soon: requests taken from now on are answered by then.
-struct ShutdownAnnounced {
-    Time answer_deadline;
-};
-struct DrainStarted {};  // no new request is taken from now on
-struct DrainExpired {};  // every request gets its final answer now
-using Input =
-    std::variant<ClientRequest, ClientClosed, ClientBacklog, CallSent, CallWritten, CallHead, CallBody,
-                 CallDone, CallFailed, membership::EndpointList, CacheEventMessage, CacheReplayEnded,
-                 CacheSnapshots, TrustStoreChanged, ShutdownAnnounced, DrainStarted, DrainExpired>;
-
-// ---- effects: what the shell is to do ----
-
-struct SendResponse {  // a whole answer
-    ClientId client;
-    int status = 200;
-    http::Headers headers;
-    std::string body;
-};
-struct StreamBegin {
-    ClientId client;
-    http::Headers headers;
-};
-struct StreamBytes {
-    ClientId client;
-    std::string bytes;
-};
-struct StreamEnd {
-    ClientId client;
-};
-struct AbortStream {  // its connection ends, without the stream's own end
-    ClientId client;
-};
-// `verify`: only a connection whose server has proved its name; nothing is asked on it. Done, or failed.
-enum class CallKind { attempt, release, lease, probe, verify };
-struct Call {
-    CallId call;
-    CallKind kind = CallKind::attempt;
-    std::string server;
-    std::string server_kind;
-    Address address;
-    std::string method;
-    std::string target;
-    http::Headers headers;
-    std::string body;
-    double priority = 0;  // of what waits for a handshake, the highest goes first
-};
-struct CallAbort {  // its connection is closed, or it leaves the queue; nothing more is heard of it
-    CallId call;
-};
-struct HalfCloseCall {  // its connection is closed for sending; what still comes of its answer is heard
-    CallId call;
-};
-struct CompleteCall {  // all that was wanted of it is here; its connection may serve others once the answer
-                       // has ended
-    CallId call;
-};
-struct SetCallPaused {  // stop or go on reading its answer
-    CallId call;
-    bool paused = false;
-};
-struct SubscribeCacheEvents {  // hear this server's cache events from now on; at other addresses than before,
-                               // perhaps
-    std::string server;
-    Address events;
-    std::optional<Address> replay;
-};
-struct UnsubscribeCacheEvents {
-    std::string server;
-};
-struct ReplayCacheEvents {  // past ones, from this sequence on
-    std::string server;
-    std::uint64_t from = 0;
-};
-struct StoreCacheSnapshot {  // to be stored in place of the server's former one
-    std::string server;
-    std::string snapshot;
-};
-struct DropCacheSnapshot {  // it is of no use any more
-    std::string server;
-};
-struct EndpointForgotten {  // off the list, and nothing of it is left here
-    std::string server;
-};
-struct EmitRecord {
-    observe::Record record;
-};
-using Output =
-    std::variant<SendResponse, StreamBegin, StreamBytes, StreamEnd, AbortStream, Call, CallAbort,
-                 HalfCloseCall, CompleteCall, SetCallPaused, SubscribeCacheEvents, UnsubscribeCacheEvents,
-                 ReplayCacheEvents, StoreCacheSnapshot, DropCacheSnapshot, EndpointForgotten, EmitRecord>;
-
 struct Gauges {
     std::size_t open_requests = 0;  // without a final answer
     std::size_t started_streams = 0;
@@ -218,7 +76,7 @@
     [[nodiscard]] Gauges gauges() const;
     // Names and states of the servers listed, for operators.
     [[nodiscard]] std::vector<membership::EndpointConfig> endpoints() const;
-    [[nodiscard]] std::size_t endpoint_count() const { return servers_.size(); }
+    [[nodiscard]] std::size_t endpoint_count() const { return endpoints_.all().size(); }
 
 private:
     struct ActiveRequest;
@@ -261,19 +119,13 @@
     void on(const ShutdownAnnounced& in) { answered_by_ = in.answer_deadline; }
     void on(const DrainStarted&) { draining_ = true; }
     void on(const DrainExpired&);
-    void on(const TrustStoreChanged&) { verification_.trust_changed(now_); }
-    // What servers keep, by their cache events.
-    void on(const CacheEventMessage& in);
-    void on(const CacheReplayEnded& in);
-    void on(CacheSnapshots& in);
-    void keep_snapshot();
-    void follow_caches();
-    void tell_prefixes();
-    [[nodiscard]] std::vector<CachedPrefix> claims(const ActiveRequest& open) const;
-    // Servers that did not prove their name: for the module they drain until they do.
+    void on(const TrustStoreChanged&) { endpoints_.trust_changed(now_); }
+    void on(const CacheEventMessage& in) { cache_index_.apply(in, now_, output_); }
+    void on(const CacheReplayEnded& in) { cache_index_.apply(in, output_); }
+    void on(CacheSnapshots& in) { cache_index_.apply(in, now_); }
     void mark_unverified(const std::string& server, const std::string& detail);
-    void verified(const std::string& server);
-    void try_verification();
+    void begin_verifications();
+    // Takes back the attempts that still wait for a connection to one of these servers.
     void withhold(const std::set<std::string>& servers);
     // the module's actions
     void run_module();
@@ -287,8 +139,9 @@
     void apply(const HealthCheck& action);
     void apply(const SetTimer& action);
     void apply(const WatchEndpoints&) {}  // the list is pushed
-    // May this be sent? Says what speaks against it.
-    [[nodiscard]] std::string guard(const ActiveRequest& open, const Send& action) const;
+    // Why this must not be sent; nothing: it may.
+    [[nodiscard]] std::optional<observe::GuardReason> guard(const ActiveRequest& open,
+                                                            const Send& action) const;
     // By the effect of its class: may another attempt begin at this time, at a server that can be told apart
     // by its zone and cell?
     [[nodiscard]] bool repeat_allowed(const ActiveRequest& open, const std::string& server, Time now) const;
@@ -305,8 +158,9 @@
     void arm(ActiveRequest& open, Time at);
     void disarm(ActiveRequest& open);
     // ends
-    void fail(ActiveRequest& open, int status, std::string reason, std::string message);
-    void finish(ActiveRequest& open, observe::Termination fate, int status, std::string reason);
+    void fail(ActiveRequest& open, int status, observe::TerminationReason reason, std::string message);
+    void finish(ActiveRequest& open, observe::Termination termination, int status,
+                observe::TerminationReason reason);
     void drop_body(ActiveRequest& open);
     void drop_if_over(RequestId id);
     void release_state(ActiveRequest& open, observe::ReleaseReason reason);
@@ -332,26 +186,20 @@
     CallId release_call(ReleaseAttempt release, const membership::EndpointConfig& holder);
     // Another round, behind one whose leading call failed at that server.
     void ask_more_servers(ReleaseAttempt release, RequestId request, const std::string& failed_at);
-    void note_held(std::string_view what, const std::string& request, const std::string& server,
-                   observe::ReleaseReason reason, Time since);
+    void record_held(observe::HeldAction action, const std::string& request, const std::string& server,
+                     observe::ReleaseReason reason, Time since);
     void release_pending();
     // A release call that covers the whole request would take what a new attempt gets: while one is on its
     // way out, the attempt is put off.
     [[nodiscard]] bool release_under_way(const ActiveRequest& open) const;
     void resume_deferred(RequestId id);
     void drop_deferred(ActiveRequest& open, bool finished);
-    [[nodiscard]] const membership::EndpointConfig* server_for_release(
-        const std::set<std::string>& asked) const;
     [[nodiscard]] Duration release_timeout() const;
     [[nodiscard]] bool release_covers_request() const;
 
     ActiveRequest* find(RequestId id);
     ActiveRequest* find(ClientId client);
     [[nodiscard]] Role role_of(const std::string& kind) const;
-    template <class E>
-    void emit(E effect) {
-        effects_.emplace_back(std::move(effect));
-    }
 
     config::EdgeSettings settings_;
     std::unique_ptr<RoutingPolicy> routing_policy_;
@@ -359,20 +207,13 @@
     Time now_{};
     Time answered_by_ = Time::max();
     bool draining_ = false;
-    std::vector<Output> effects_;
-    std::vector<Event> events_;  // for the module, at its next step
+    StepOutput output_;
     std::unordered_map<std::uint64_t, std::unique_ptr<ActiveRequest>>
         open_;                                                // by request; looked up, never walked
     std::unordered_map<std::uint64_t, RequestId> by_client_;  // the same
     std::map<CallId, UpstreamCall> calls_;
-    std::map<ServerId, membership::EndpointConfig> servers_;
-    membership::Verification verification_;
-    std::unique_ptr<prefix::ReportedCaches> prefixes_;  // nullptr: no kind publishes cache events
-    std::map<std::string, std::pair<Address, std::optional<Address>>> followed_;
-    std::map<std::string, std::string> snapshots_;  // of servers that are not listed yet
-    std::string last_kept_;                         // whose turn it was
-    Time next_keep_ = Time::max();
-    std::map<std::string, Time> replays_;  // under way, and when they have taken too long
+    EndpointRegistry endpoints_;
+    CacheIndex cache_index_;
     std::set<std::pair<Time, RequestId>> due_;
     std::set<std::pair<Time, CallId>> call_due_;  // release calls and probes
     std::multimap<Time, TimerId> wakes_;
@@ -383,7 +224,6 @@
     std::size_t request_bytes_ = 0;  // of the bodies of open requests
     std::size_t held_ = 0;
     std::set<std::string> no_release_;  // servers that have no release call
-    LastActivity heard_;                // which servers spoke last
     std::vector<RequestId>
         pending_releases_;  // requests for which something may be held that no attempt may want
 };
--- a/src/core/edge_releases.cpp
+++ b/src/core/edge_releases.cpp
@@ -9,7 +9,9 @@
 namespace chalksail::core {
 
 using engine::Ending;
+using observe::HeldAction;
 using observe::ReleaseReason;
+using observe::ServerAction;
 
 namespace {
 
@@ -39,16 +41,15 @@
         if (r.pending_release) r.pending_release->since = now_;
     }
     if (!may_have_left_a_state(call, end)) return;
-    const auto s = servers_.find({call.server});
-    if (s == servers_.end()) return;
+    const auto* const server = endpoints_.find(call.server);
+    if (server == nullptr) return;
     if (release_covers_request()) {
         // One call releases what each of its reads may have left: the earliest counts.
         const Time since = r.pending_release ? r.pending_release->since : now_;
-        r.pending_release = ActiveRequest::Held{s->second, "", call.attempt.value, since};
+        r.pending_release = ActiveRequest::Held{*server, "", call.attempt.value, since};
         pending_releases_.push_back(r.id);
     } else {
-        release_call({r.in.name, call.attempt.value, "", ReleaseReason::read_may_have_ended, now_},
-                     s->second);
+        release_call({r.in.name, call.attempt.value, "", ReleaseReason::read_may_have_ended, now_}, *server);
     }
 }
 
@@ -70,12 +71,12 @@
     const bool has_none = ending == Ending::answered && protocol_->no_release(call.status);
     if (has_none) no_release_.insert(call.server);
     const bool done = ending == Ending::answered && call.status < 300;
-    emit(EmitRecord{observe::ServerRecord{call.server, "release",
-                                          done       ? "ok"
-                                          : has_none ? "none"
-                                                     : "failed"}});
-    note_held(done ? "release_done" : "release_failed", call.release->name, call.server, call.release->reason,
-              call.release->held_since);
+    output_.record(observe::ServerRecord{call.server, ServerAction::release,
+                                         done       ? "ok"
+                                         : has_none ? "none"
+                                                    : "failed"});
+    record_held(done ? HeldAction::release_done : HeldAction::release_failed, call.release->name, call.server,
+                call.release->reason, call.release->held_since);
     call.release->progress->done = call.release->progress->done || done;
     // Where any server takes it others are asked, at once: the time to release runs on while one does not
     // answer. Not once a read has ended well behind it: that state would go, too, and has time of its own.
@@ -83,8 +84,8 @@
     if (!goes_on) return resume_deferred(call.request);
     ActiveRequest* r = find(call.request);
     if (r == nullptr || !r->held) return ask_more_servers(*call.release, call.request, call.server);
-    if (const auto s = servers_.find({call.server}); s != servers_.end() && !r->pending_release)
-        r->pending_release = ActiveRequest::Held{s->second, call.release->state, call.release->attempt,
+    if (const auto* const server = endpoints_.find(call.server); server != nullptr && !r->pending_release)
+        r->pending_release = ActiveRequest::Held{*server, call.release->state, call.release->attempt,
                                                  r->held->since, call.release->reason};
     pending_releases_.push_back(r->id);
 }
@@ -98,10 +99,10 @@
     const int wanted = progress.rounds <= kWideningRounds ? 1 << progress.rounds : 1;
     CallId leading{};
     for (int i = 0; i < wanted; ++i) {
-        const membership::EndpointConfig* next = server_for_release(progress.asked);
+        const membership::EndpointConfig* next = endpoints_.last_active(progress.asked);
         if (next == nullptr && leading == CallId{}) {  // all have been asked: once more
             progress.asked = {failed_at};
-            next = server_for_release(progress.asked);
+            next = endpoints_.last_active(progress.asked);
         }
         if (next == nullptr) break;
         release.leads = leading == CallId{};
@@ -114,20 +115,6 @@
     if (ActiveRequest* r = find(request)) r->release = leading;
 }
 
-// Who spoke last of those in service that were not asked: that it lives is all that is wanted.
-const membership::EndpointConfig* Edge::server_for_release(const std::set<std::string>& asked) const {
-    const auto fits = [&](const std::string& server) {
-        const auto it = servers_.find({server});
-        return it != servers_.end() && it->second.endpoint.state == EndpointState::up &&
-               !asked.contains(server);
-    };
-    if (const std::string* const server = heard_.latest(fits)) return &servers_.at({*server});
-    // None that has spoken is left.
-    for (const auto& [id, server] : servers_)
-        if (fits(id.value)) return &server;
-    return nullptr;
-}
-
 void Edge::end_lease(const UpstreamCall& call, Ending ending) {
     std::erase_if(call_due_, [&](const auto& d) { return d.second == call.id; });
     using Lease = Protocol::Lease;
@@ -135,12 +122,12 @@
     ActiveRequest* r = find(call.request);
     if (r == nullptr) return;
     if (lease != Lease::not_known)
-        events_.emplace_back(ReservationResult{r->id, {call.server}, lease == Lease::held});
+        output_.notify(ReservationResult{r->id, {call.server}, lease == Lease::held});
     // A place that may be held is let go of like a state, unless an attempt takes it.
     if (lease != Lease::not_held && call.sent && !r->started) {
-        if (const auto s = servers_.find({call.server}); s != servers_.end() && !r->pending_release)
-            r->pending_release = ActiveRequest::Held{s->second, "", call.attempt.value, now_,
-                                                     ReleaseReason::place_may_be_held};
+        if (const auto* const server = endpoints_.find(call.server); server != nullptr && !r->pending_release)
+            r->pending_release =
+                ActiveRequest::Held{*server, "", call.attempt.value, now_, ReleaseReason::place_may_be_held};
         pending_releases_.push_back(r->id);
     }
 }
@@ -156,13 +143,12 @@
 
 void Edge::apply(const Reserve& action) {
     ActiveRequest* r = find(action.id);
-    const auto s = servers_.find(action.server);
-    if (r == nullptr || r->answered || s == servers_.end() || s->second.endpoint.state != EndpointState::up)
-        return;
+    const auto* const server = endpoints_.find(action.server.value);
+    if (r == nullptr || r->answered || !endpoints_.is_up(action.server.value)) return;
     auto request = protocol_->lease(r->in.name);
     if (!request || !settings_.module.early_reservation_enabled) return;
     const Time due = std::max(r->deadline, now_ + settings_.limits.release_timeout);
-    call_out(CallKind::lease, s->second, std::move(*request), due).request = r->id;
+    call_out(CallKind::lease, *server, std::move(*request), due).request = r->id;
 }
 
 bool Edge::release_covers_request() const {
@@ -197,7 +183,7 @@
     arm(r, ends_at(r, attempt));
     if (r.held && !may_have_come(attempt)) {
         const CallId id = attempt.id;
-        emit(CallAbort{id});
+        output_.emit(CallAbort{id});
         return end_attempt(id, Ending::cancelled, "no connection in the state's time");
     }
     if (!release_covers_request()) return;
@@ -210,7 +196,7 @@
 // release is made again and again, as the server may die with the attempt.
 void Edge::release_beside_attempt(ActiveRequest& r, ReleaseReason reason) {
     if (r.held) {
-        events_.emplace_back(KvStateReleased{r.id});
+        output_.notify(KvStateReleased{r.id});
         r.pending_release = std::exchange(r.held, std::nullopt);
         r.pending_release->reason = reason;
         held_ -= 1;
@@ -225,9 +211,9 @@
     calls_.at(call).request = r.id;
 }
 
-void Edge::note_held(std::string_view what, const std::string& request, const std::string& server,
-                     ReleaseReason reason, Time since) {
-    emit(EmitRecord{observe::HeldRecord{request, what, server, reason, now_ - since}});
+void Edge::record_held(HeldAction action, const std::string& request, const std::string& server,
+                       ReleaseReason reason, Time since) {
+    output_.record(observe::HeldRecord{request, action, server, reason, now_ - since});
 }
 
 void Edge::release_state(ActiveRequest& r, ReleaseReason reason) {
@@ -276,7 +262,7 @@
 void Edge::drop_deferred(ActiveRequest& r, bool finished) {
     const Send action = *std::exchange(r.deferred, std::nullopt);
     const AttemptId attempt{r.attempts++};
-    events_.emplace_back(
+    output_.notify(
         AttemptEnded{r.id, attempt, action.server, AttemptOutcome::not_sent, {}, finished, false, 0, {}});
 }
 
@@ -284,17 +270,17 @@
     if (release.progress == nullptr) release.progress = std::make_shared<ReleaseProgress>();
     // Where any server takes it, the one that spoke last is the likeliest to run and to be reached.
     const membership::EndpointConfig* const likeliest =
-        release_covers_request() ? server_for_release(release.progress->asked) : nullptr;
+        release_covers_request() ? endpoints_.last_active(release.progress->asked) : nullptr;
     const membership::EndpointConfig& to = likeliest != nullptr ? *likeliest : holder;
     const auto& server = to.endpoint.id.value;
     auto request = protocol_->release(release.name, release.attempt, release.state, to.endpoint.kind);
     if (!request || no_release_.contains(server)) {
         // Counted and noted: the state stays until the engine drops it by its own time.
-        emit(EmitRecord{observe::ServerRecord{server, "release", "none"}});
+        output_.record(observe::ServerRecord{server, ServerAction::release, "none"});
         return {};
     }
     release.progress->asked.insert(server);
-    note_held("release", release.name, server, release.reason, release.held_since);
+    record_held(HeldAction::release, release.name, server, release.reason, release.held_since);
     const Time due = now_ + release_timeout();
     UpstreamCall& out = call_out(CallKind::release, to, std::move(*request), due, kReleaseWorth);
     out.release = std::move(release);
--- a/src/core/edge_state.hpp
+++ b/src/core/edge_state.hpp
@@ -50,10 +50,16 @@
     Time last_chunk{};
     std::int64_t chunks = 0;
     Time due{};
-    std::vector<CachedPrefix> claims;  // by all servers, also by those not believed
+    std::vector<CachedPrefix> reported_prefixes;  // by all servers, also by those not trusted
     std::string last_outcome;
     std::string attempt_history;
 
+    // Of its prompt, as this server reported them cached when the request arrived.
+    [[nodiscard]] double reported_tokens(const std::string& server) const {
+        for (const auto& cached : reported_prefixes)
+            if (cached.server.value == server) return cached.tokens;
+        return 0;
+    }
     [[nodiscard]] double reported_prompt_tokens() const {
         const double told = in.protocol_session->reported_prompt_tokens();
         return told > 0 ? told : counted_prompt_tokens;
--- a/src/core/last_activity.hpp
+++ b/src/core/last_activity.hpp
@@ -1,4 +1,5 @@
-// Which servers have spoken, the one that spoke last first. Free of I/O and clock. Not thread-safe.
+// The servers by the time at which a response of theirs was last received, the latest first. Free of I/O and
+// clock; not thread-safe.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -11,13 +12,13 @@
 
 class LastActivity {
 public:
-    void spoke(const std::string& server, Time now) {
+    void record(const std::string& server, Time now) {
         const auto [it, fresh] = times_.try_emplace(server, now);
         if (fresh) {
             order_.emplace(now, server);
             return;
         }
-        // Often: a server that streams speaks all the time. Its entry is moved, not made anew.
+        // Frequent, as each chunk of a stream counts: the entry is moved, not allocated again.
         auto entry = order_.extract({it->second, server});
         entry.value().first = now;
         order_.insert(std::move(entry));
@@ -29,11 +30,11 @@
         order_.erase({it->second, server});
         times_.erase(it);
     }
-    // The one that spoke last of those that fit; nullptr: none does.
-    template <class Fits>
-    [[nodiscard]] const std::string* latest(Fits fits) const {
+    // The one that was active last of those that `eligible` accepts; nullptr: none.
+    template <class Eligible>
+    [[nodiscard]] const std::string* most_recent(Eligible eligible) const {
         for (const auto& [at, server] : order_)
-            if (fits(server)) return &server;
+            if (eligible(server)) return &server;
         return nullptr;
     }
 
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -17,7 +17,7 @@
             .text("request", r.request)
             .whole("attempt", r.attempt)
             .text("server", r.server)
-            .text("stage", r.read ? "read" : "write")
+            .text("stage", r.prefill ? "read" : "write")
             .text("outcome", r.outcome)
             .whole("status", r.status)
             .flag("sent", r.sent)
@@ -34,9 +34,9 @@
             .text("client_request", r.client_request)
             .text("class", r.class_name)
             .text("tenant", r.tenant)
-            .text("fate", name(r.fate))
+            .text("termination", name(r.termination))
             .whole("status", r.status)
-            .text("reason", r.reason)
+            .text("reason", name(r.reason))
             .number("ms", ms(r.total))
             .number("first_token_ms", ms(r.first_token))
             .number("prompt_tokens", r.prompt_tokens)
@@ -51,7 +51,7 @@
         return json::ObjectWriter()
             .text("event", "server")
             .text("server", r.server)
-            .text("what", r.what)
+            .text("action", name(r.action))
             .text("detail", r.detail)
             .done();
     }
@@ -59,7 +59,7 @@
         return json::ObjectWriter()
             .text("event", "held")
             .text("request", r.request)
-            .text("what", r.what)
+            .text("action", name(r.action))
             .text("server", r.server)
             .text("reason", name(r.reason))
             .number("age_ms", ms(r.age))
@@ -69,56 +69,37 @@
         return json::ObjectWriter()
             .text("event", "guard")
             .text("request", r.request)
-            .text("what", r.what)
+            .text("action", name(r.reason))
             .done();
     }
 };
 
+bool is_release(HeldAction action) { return action != HeldAction::held && action != HeldAction::fetched; }
+
+// Calls that each server gets again and again.
+bool is_periodic(ServerAction action) {
+    return action == ServerAction::probe || action == ServerAction::release;
+}
+
 spdlog::level::level_enum level_of(const Record& record) {
     if (std::holds_alternative<GuardRecord>(record)) return spdlog::level::err;
     if (std::holds_alternative<AttemptRecord>(record)) return spdlog::level::debug;
     if (const auto* held = std::get_if<HeldRecord>(&record))
-        return held->what.starts_with("release") ? spdlog::level::info : spdlog::level::debug;
+        return is_release(held->action) ? spdlog::level::info : spdlog::level::debug;
     if (const auto* server = std::get_if<ServerRecord>(&record))
-        return server->what == "probe" || server->what == "release" ? spdlog::level::debug
-                                                                    : spdlog::level::info;
+        return is_periodic(server->action) ? spdlog::level::debug : spdlog::level::info;
     return spdlog::level::info;
 }
 
 }  // namespace
 
-std::string_view name(Termination fate) {
-    switch (fate) {
-        case Termination::served: return "served";
-        case Termination::refused: return "refused";
-        case Termination::failed: return "failed";
-        case Termination::client_gone: return "client_gone";
-        case Termination::rejected: return "rejected";
-    }
-    return "unknown";
-}
-
-std::string_view name(ReleaseReason reason) {
-    switch (reason) {
-        case ReleaseReason::none: return "";
-        case ReleaseReason::decided: return "decided";
-        case ReleaseReason::request_over: return "request_over";
-        case ReleaseReason::read_may_have_ended: return "read_may_have_ended";
-        case ReleaseReason::place_may_be_held: return "place_may_be_held";
-        case ReleaseReason::not_fetched: return "not_fetched";
-        case ReleaseReason::write_unanswered: return "write_unanswered";
-    }
-    return "unknown";
-}
-
 std::string format_json(const Record& record) { return std::visit(Formatter{}, record); }
 
-Log::Log(const std::string& who, const std::string& level)
-    : who_(who),
-      logger_(std::make_shared<spdlog::logger>(who, std::make_shared<spdlog::sinks::stderr_sink_mt>())) {
+Log::Log(const std::string& gateway, const std::string& level)
+    : logger_(std::make_shared<spdlog::logger>(gateway, std::make_shared<spdlog::sinks::stderr_sink_mt>())) {
     logger_->set_level(spdlog::level::from_str(level));
     logger_->flush_on(spdlog::level::warn);
-    logger_->set_pattern(R"({"time":"%Y-%m-%dT%H:%M:%S.%e%z","level":"%l","who":"%n","data":%v})");
+    logger_->set_pattern(R"({"time":"%Y-%m-%dT%H:%M:%S.%e%z","level":"%l","gateway":"%n","fields":%v})");
 }
 Log::~Log() { logger_->flush(); }
 void Log::flush() { logger_->flush(); }
--- a/src/observe/log.hpp
+++ b/src/observe/log.hpp
@@ -1,4 +1,7 @@
-// Structured logs: one JSON object a line. Records become text here; where the lines go is spdlog's.
+// Structured logs: one JSON object a line on standard error,
+//   {"time": ISO 8601 with offset, "level", "gateway": its name, "fields": {"event": ..., ...}}.
+// The members of `fields` are documented at each record's definition (record.hpp); lines of the program's own
+// carry {"event", "text"}. A Log may be used from several threads; it throws only from its constructor.
 #pragma once
 
 #include <memory>
@@ -17,8 +20,8 @@
 
 class Log {
 public:
-    // `level`: debug, info, warn or error. Lines go to standard error.
-    Log(const std::string& who, const std::string& level);
+    // `gateway` names the process in each line; `level`: debug, info, warn, error or off.
+    Log(const std::string& gateway, const std::string& level);
     ~Log();
     void write(const Record& record);
     // Lines of the program's own: {"event": event, "text": text}.
@@ -30,7 +33,6 @@
 
 private:
     void line(int level, const std::string& event, const std::string& text);
-    std::string who_;
     std::shared_ptr<spdlog::logger> logger_;
 };
 
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -78,31 +78,47 @@
 Metrics::~Metrics() = default;
 
 void Metrics::count(const Record& record) {
-    Families& f = *families_;
-    if (const auto* r = std::get_if<RequestRecord>(&record)) {
-        f.requests
-            .Add({{"class", r->class_name}, {"fate", std::string(name(r->fate))}, {"reason", r->reason}})
-            .Increment();
-        if (r->first_token > Duration::zero())
-            f.first_token.Add({{"class", r->class_name}}, kSeconds).Observe(seconds(r->first_token));
-    } else if (const auto* a = std::get_if<AttemptRecord>(&record)) {
-        const std::string stage = a->read ? "read" : "write";
-        auto& counter =
-            f.attempts.Add({{"server", a->server}, {"stage", stage}, {"outcome", std::string(a->outcome)}});
-        counter.Increment();
-        f.by_server[a->server].emplace(&f.attempts, &counter);
-        f.attempt_seconds.Add({{"stage", stage}}, kSeconds).Observe(seconds(a->taken));
-    } else if (const auto* s = std::get_if<ServerRecord>(&record)) {
-        const bool call = s->what == "probe" || s->what == "release";
-        auto& counter =
-            f.servers.Add({{"server", s->server}, {"what", s->what}, {"result", call ? s->detail : ""}});
-        counter.Increment();
-        f.by_server[s->server].emplace(&f.servers, &counter);
-    } else if (const auto* h = std::get_if<HeldRecord>(&record)) {
-        f.held.Add({{"what", std::string(h->what)}, {"reason", std::string(name(h->reason))}}).Increment();
-    } else {
-        f.guards.Add({{"what", std::get<GuardRecord>(record).what}}).Increment();
-    }
+    std::visit([this](const auto& r) { count(r); }, record);
+}
+
+void Metrics::count(const RequestRecord& record) {
+    families_->requests
+        .Add({{"class", record.class_name},
+              {"fate", std::string(name(record.termination))},
+              {"reason", std::string(name(record.reason))}})
+        .Increment();
+    if (record.first_token > Duration::zero())
+        families_->first_token.Add({{"class", record.class_name}}, kSeconds)
+            .Observe(seconds(record.first_token));
+}
+
+void Metrics::count(const AttemptRecord& record) {
+    const std::string stage = record.prefill ? "read" : "write";
+    auto& counter = families_->attempts.Add(
+        {{"server", record.server}, {"stage", stage}, {"outcome", std::string(record.outcome)}});
+    counter.Increment();
+    families_->by_server[record.server].emplace(&families_->attempts, &counter);
+    families_->attempt_seconds.Add({{"stage", stage}}, kSeconds).Observe(seconds(record.taken));
+}
+
+void Metrics::count(const ServerRecord& record) {
+    // Only these have few results: others carry addresses and errors, one time series for each.
+    const bool has_result = record.action == ServerAction::probe || record.action == ServerAction::release;
+    auto& counter = families_->servers.Add({{"server", record.server},
+                                            {"what", std::string(name(record.action))},
+                                            {"result", has_result ? record.detail : ""}});
+    counter.Increment();
+    families_->by_server[record.server].emplace(&families_->servers, &counter);
+}
+
+void Metrics::count(const HeldRecord& record) {
+    families_->held
+        .Add({{"what", std::string(name(record.action))}, {"reason", std::string(name(record.reason))}})
+        .Increment();
+}
+
+void Metrics::count(const GuardRecord& record) {
+    families_->guards.Add({{"what", std::string(name(record.reason))}}).Increment();
 }
 
 void Metrics::forget(const std::string& server) {
--- a/src/observe/metrics.hpp
+++ b/src/observe/metrics.hpp
@@ -1,5 +1,5 @@
 // Counters, gauges and histograms, made of the same records as the logs, on prometheus-cpp. Each is
-// documented where it is defined (metrics.cpp) and on its page.
+// documented where it is defined (metrics.cpp) and by the help text on the page. Not thread-safe; no errors.
 #pragma once
 
 #include <map>
@@ -14,16 +14,24 @@
 public:
     explicit Metrics(const std::string& gateway);
     ~Metrics();
+    // Adds one record to the counters and histograms that it belongs to.
     void count(const Record& record);
-    // It is gone: what is counted by its name goes too.
+    // Drops the time series of a server that was removed.
     void forget(const std::string& server);
-    // Values that are read off now and then.
+    // Sets the gauge chalksail_<gauge>.
     void set(const std::string& gauge, double value);
-    // The text page.
+    // The text page, in Prometheus's exposition format.
     [[nodiscard]] std::string page() const;
 
 private:
     struct Families;
+
+    void count(const RequestRecord& record);
+    void count(const AttemptRecord& record);
+    void count(const ServerRecord& record);
+    void count(const HeldRecord& record);
+    void count(const GuardRecord& record);
+
     std::unique_ptr<Families> families_;
 };
 
--- a/tests/core/edge_test.cpp
+++ b/tests/core/edge_test.cpp
@@ -47,7 +47,7 @@
     EXPECT_EQ(d.streamed,
               chunk("yes") + chunk(" now") + chat::format_event("[DONE]"));  // usage was not asked for
     ASSERT_EQ(d.requests.size(), 1U);
-    EXPECT_EQ(d.requests[0].fate, observe::Termination::served);
+    EXPECT_EQ(d.requests[0].termination, observe::Termination::served);
     EXPECT_EQ(d.requests[0].reported_prompt_tokens, 40);
     EXPECT_TRUE(d.releases().empty());  // the writer has fetched the state
     expect_empty(d);
@@ -147,7 +147,7 @@
     EXPECT_TRUE(d.was_aborted(write));
     d.body(write, chunk("late"));  // what was on the way
     EXPECT_EQ(d.streamed, chunk("yes"));
-    EXPECT_EQ(d.requests.back().fate, observe::Termination::client_gone);
+    EXPECT_EQ(d.requests.back().termination, observe::Termination::client_gone);
     expect_empty(d);
 }
 
@@ -165,7 +165,7 @@
     EXPECT_EQ(d.streams_ended, 1);
     d.pass(5s);
     EXPECT_EQ(d.sent().size(), 2U);  // a started stream is not sent again
-    EXPECT_EQ(d.requests.back().fate, observe::Termination::failed);
+    EXPECT_EQ(d.requests.back().termination, observe::Termination::failed);
     expect_empty(d);
 }
 
@@ -407,7 +407,7 @@
     d.give({ClientBacklog{{1}, false}});
     EXPECT_FALSE(d.flows.back().paused);
     d.body(write, chat::format_event("[DONE]"));
-    EXPECT_EQ(d.requests.back().fate, observe::Termination::served);
+    EXPECT_EQ(d.requests.back().termination, observe::Termination::served);
 }
 
 // ---- the list ----
@@ -497,7 +497,7 @@
     EXPECT_EQ(d.replies[0].headers.get("connection"), "close");
     d.head(write);
     d.body(write, chunk("a") + chat::format_event("[DONE]"));
-    EXPECT_EQ(d.requests.back().fate, observe::Termination::served);
+    EXPECT_EQ(d.requests.back().termination, observe::Termination::served);
 }
 
 // An engine without the let-go call is asked once, counted and noted.
@@ -509,7 +509,7 @@
     ASSERT_EQ(d.releases().size(), 1U);
     const auto call = d.releases()[0].call;
     d.give({CallHead{call, 404, {}}, CallDone{call}});
-    EXPECT_EQ(d.servers.back().what, "release");
+    EXPECT_EQ(d.servers.back().action, observe::ServerAction::release);
     EXPECT_EQ(d.servers.back().detail, "none");
 }
 
--- a/tests/core/platform_edge_test.cpp
+++ b/tests/core/platform_edge_test.cpp
@@ -229,7 +229,7 @@
     ASSERT_EQ(d.replies.size(), 2U);
     EXPECT_EQ(d.replies[0].client, ClientId{2});
     EXPECT_EQ(d.replies[1].client, ClientId{3});
-    for (const auto& r : d.requests) EXPECT_EQ(r.reason, "drain");
+    for (const auto& r : d.requests) EXPECT_EQ(r.reason, observe::TerminationReason::drain);
     EXPECT_EQ(d.requests.size(), 3U);
     for (const auto& call : d.releases()) d.answer(call.call, 204);
     EXPECT_FALSE(d.releases().empty());
--- a/tests/faults/large_fleet_test.cpp
+++ b/tests/faults/large_fleet_test.cpp
@@ -69,7 +69,7 @@
     const std::string list = indented(fleet(kServers));
     ASSERT_GT(list.size(), std::size_t{1024} * 1024);  // the limit that it was over
     start_with(list, "", "");
-    const auto told = "\"server\":\"s" + std::to_string(kServers - 1) + "\",\"what\":\"up\"";
+    const auto told = "\"server\":\"s" + std::to_string(kServers - 1) + "\",\"action\":\"up\"";
     EXPECT_TRUE(until([&] {
         const std::string lines = log();
         return lines.find(told) != std::string::npos || lines.find("stays in force") != std::string::npos;
