--- /dev/null
+++ b/src/core/attempt_result.hpp
@@ -0,0 +1,42 @@
+// How an attempt ended, and what that proves. The one place in the core that says so; the rules themselves
+// are the protocol's and engine/outcome.hpp's. Pure functions of the call; no errors.
+#pragma once
+
+#include <chalksail/chalksail.hpp>
+#include <optional>
+
+#include "core/protocol.hpp"
+#include "core/upstream_calls.hpp"
+#include "engine/outcome.hpp"
+
+namespace chalksail::core {
+
+struct AttemptResult {
+    engine::Ending ending = engine::Ending::answered;
+    engine::Judgement judgement;
+    std::optional<PrefillResult> prefill;  // of a prefill attempt that ended well
+
+    [[nodiscard]] AttemptOutcome outcome() const { return judgement.outcome; }
+    // The server's own verdict that the request is at fault: its answer goes to the client.
+    [[nodiscard]] bool client_error() const { return judgement.client_error; }
+    // Served to its end.
+    [[nodiscard]] bool ok() const { return outcome() == AttemptOutcome::ok && !client_error(); }
+    // The server has reacted to the attempt, so that it arrived.
+    [[nodiscard]] bool proves_arrival(const UpstreamCall& call) const;
+    // Not proved not to have run. A prefill has no effect and never counts.
+    [[nodiscard]] bool may_have_run(const UpstreamCall& call) const;
+    // A prefill that was cancelled may have ended well all the same, with its answer on the way, and so may
+    // one whose answer can't be read.
+    [[nodiscard]] bool may_have_left_kv_state(const UpstreamCall& call) const;
+};
+
+// `stream_started`: the client of the request received a part of an answer.
+[[nodiscard]] AttemptResult judge_attempt(const Protocol& protocol, const UpstreamCall& call,
+                                          engine::Ending ending, bool stream_started);
+
+// If the attempt were cancelled now, could its server have received it?
+[[nodiscard]] bool may_have_arrived(const Protocol& protocol, const UpstreamCall& call);
+
+[[nodiscard]] AttemptOutcome judge_health_check(const UpstreamCall& call, engine::Ending ending);
+
+}  // namespace chalksail::core
--- /dev/null
+++ b/src/core/attempt_runner.cpp
@@ -0,0 +1,180 @@
+#include "core/attempt_runner.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace chalksail::core {
+
+using engine::Ending;
+
+namespace {
+
+Role role_of(const Settings& settings, const std::string& kind) {
+    for (const auto& known : settings.kinds)
+        if (known.name == kind) return known.role;
+    return Role::mixed;
+}
+
+}  // namespace
+
+void AttemptRunner::begin(ActiveRequest& request, const membership::EndpointConfig& server,
+                          const Send& action, Time now, StepOutput& output) {
+    const ProtocolSession& session = *request.parsed.protocol_session;
+    const AttemptId attempt{request.attempts++};
+    const bool prefill = role_of(parts_.settings.module, server.endpoint.kind) == Role::prefill;
+    const Duration time_left = request.deadline - now;
+    auto message = prefill ? session.read(attempt.value, time_left)
+                           : session.write(attempt.value, parts_.kv_states.held_state(request.id), time_left);
+    const double priority = parts_.settings.module.classes[request.parsed.cls].priority_weight;
+    UpstreamCall& call =
+        parts_.calls.begin(CallKind::attempt, server, std::move(message), priority, now, output);
+    call.request = request.id;
+    call.attempt = attempt;
+    call.prefill = prefill;
+    if (action.timeout > Duration::zero()) call.timeout = now + action.timeout;
+    request.attempt = call.id;
+    set_timer(request, call);
+}
+
+void AttemptRunner::receive_stream(UpstreamCall& call, std::string_view bytes, Time now, StepOutput& output) {
+    const CallId id = call.id;
+    ActiveRequest& request = *parts_.requests.find(call.request);
+    auto progress = call.parser->feed(bytes);
+    if (progress.events > 0) {
+        // Its client has disconnected, and the router may not cancel attempts.
+        if (request.finished()) return abort(id, Ending::cancelled, "client gone", now, output);
+        request.last_chunk = now;
+        parts_.endpoints.record_activity(call.server, now);
+        request.chunks += progress.events;
+        if (!request.stream_started()) start_stream(request, call, now, output);
+        if (!progress.to_client.empty())
+            output.emit(StreamBytes{request.client, std::move(progress.to_client)});
+    }
+    switch (progress.state) {
+        case DecodeResponseParser::State::more: return;
+        case DecodeResponseParser::State::whole:
+            output.emit(CompleteCall{id});
+            return end(id, Ending::answered, "", now, output);
+        case DecodeResponseParser::State::spoilt:
+            return abort(id, Ending::bad_answer, progress.detail, now, output);
+    }
+}
+
+// The first event is here: from now on the client gets this attempt's answer.
+void AttemptRunner::start_stream(ActiveRequest& request, const UpstreamCall& call, Time now,
+                                 StepOutput& output) {
+    parts_.requests.start_stream(request, now);
+    output.notify(StreamStarted{request.id, call.attempt, {call.server}, now - call.begun});
+    parts_.kv_states.mark_fetched(request.id, call.server, now, output);
+    Time check = now + parts_.settings.limits.stream_idle;
+    if (request.migrate_at) check = std::min(check, *request.migrate_at);
+    if (!request.streams()) check = std::min(check, request.deadline);
+    parts_.requests.set_timer(request, check);
+    parts_.requests.drop_body(request);
+    if (request.streams())
+        output.emit(StreamBegin{request.client, request.parsed.protocol_session->stream_head()});
+}
+
+void AttemptRunner::abort(CallId id, Ending ending, const std::string& detail, Time now, StepOutput& output) {
+    output.emit(CallAbort{id});
+    end(id, ending, detail, now, output);
+}
+
+void AttemptRunner::end(CallId id, Ending ending, const std::string& detail, Time now, StepOutput& output) {
+    const UpstreamCall call = parts_.calls.end(id);
+    ActiveRequest& request = *parts_.requests.find(call.request);
+    request.attempt.reset();
+    if (ending == Ending::unverified) mark_unverified(call.server, detail, now, output);
+
+    const AttemptResult result = judge_attempt(*parts_.protocol, call, ending, request.stream_started());
+    if (result.may_have_run(call) && !request.first_run) {
+        const auto* const server = parts_.endpoints.find(call.server);
+        request.first_run = {call.begun, server == nullptr ? Endpoint{} : server->endpoint};
+    }
+    AttemptEnded event = attempt_ended_event(request, call, result, now);
+    record_engine_counts(request, call, result, now, output);
+    if (result.prefill) parts_.kv_states.hold(request.id, call, result.prefill->state, now, output);
+    parts_.kv_states.attempt_ended(request.id, call, result, now, output);
+    record_attempt(request, call, result, detail, now, output);
+    output.notify(std::move(event));
+    if (!request.finished()) completion_.answer_after(request, call, result, detail, now, output);
+    completion_.remove_if_over(request, now, output);
+}
+
+AttemptEnded AttemptRunner::attempt_ended_event(const ActiveRequest& request, const UpstreamCall& call,
+                                                const AttemptResult& result, Time now) const {
+    AttemptEnded event;
+    event.id = request.id;
+    event.attempt = call.attempt;
+    event.server = {call.server};
+    event.outcome = result.outcome();
+    event.elapsed = now - call.begun;
+    // The break of a stream that had started ends the request, as its good end and a verdict on it do.
+    event.request_finished = request.finished() || request.stream_started() || result.client_error();
+    event.kv_state_missing = result.judgement.kv_state_missing;
+    if (result.prefill) event.cached_prompt_tokens = result.prefill->cached_tokens.value_or(0);
+    else if (!call.prefill && result.ok())
+        event.cached_prompt_tokens = request.parsed.protocol_session->cached_tokens();
+    event.load_report = call.head.report;
+    return event;
+}
+
+void AttemptRunner::record_engine_counts(ActiveRequest& request, const UpstreamCall& call,
+                                         const AttemptResult& result, Time now, StepOutput& output) {
+    ProtocolSession& session = *request.parsed.protocol_session;
+    if (!result.prefill) {
+        const double reported = request.reported_prompt_tokens();
+        if (!call.prefill && result.ok() && reported > 0) session.set_prompt_tokens(reported);
+        return;
+    }
+    const double counted = result.prefill->prompt_tokens;
+    parts_.cache_index.record_prefill(
+        call.server,
+        {counted > 0 ? counted : request.parsed.prompt_tokens, request.reported_cached_tokens(call.server),
+         result.prefill->cached_tokens, now - call.begun},
+        output);
+    if (counted <= 0) return;
+    request.counted_prompt_tokens = counted;
+    session.set_prompt_tokens(counted);
+}
+
+void AttemptRunner::record_attempt(ActiveRequest& request, const UpstreamCall& call,
+                                   const AttemptResult& result, const std::string& detail, Time now,
+                                   StepOutput& output) {
+    request.record_attempt(call, result, detail, now);
+    observe::AttemptRecord record;
+    record.request = request.parsed.name;
+    record.attempt = call.attempt.value;
+    record.server = call.server;
+    record.prefill = call.prefill;
+    record.outcome = engine::name(result.outcome());
+    record.status = call.status;
+    record.sent = call.sent();
+    record.started = request.stream_started() && !call.prefill;
+    record.taken = now - call.begun;
+    record.detail = detail;
+    record.written = call.written();
+    output.record(std::move(record));
+}
+
+void AttemptRunner::withhold(const std::set<std::string>& servers, Time now, StepOutput& output) {
+    for (const CallId id : parts_.calls.queued_attempts(servers))
+        abort(id, Ending::withdrawn, "list", now, output);
+}
+
+void AttemptRunner::mark_unverified(const std::string& server, const std::string& detail, Time now,
+                                    StepOutput& output) {
+    // What still waits for a connection there would fail the same way, and cost a handshake each.
+    if (parts_.endpoints.mark_unverified(server, detail, now, output)) withhold({server}, now, output);
+}
+
+void AttemptRunner::set_timer(ActiveRequest& request, const UpstreamCall& attempt) {
+    Time due = attempt_deadline(request, attempt);
+    // Guards against a state that waits for an attempt which never arrives: until it has answered the state's
+    // time runs on, whether the connection does not come up or is silent.
+    const auto release = parts_.kv_states.release_due(request.id);
+    if (release && attempt.status == 0) due = std::min(due, *release);
+    parts_.requests.set_timer(request, due);
+}
+
+}  // namespace chalksail::core
--- /dev/null
+++ b/src/core/request_completion.cpp
@@ -0,0 +1,60 @@
+#include "core/request_completion.hpp"
+
+#include "core/client_response.hpp"
+
+namespace chalksail::core {
+
+using engine::Ending;
+using observe::Termination;
+using observe::TerminationReason;
+
+void RequestCompletion::fail(ActiveRequest& request, int status, TerminationReason reason,
+                             const std::string& message, Time now, StepOutput& output) {
+    send_failure(request, status, message, parts_.guard.retryable(request), output);
+    finish(request, Termination::failed, status, reason, now, output);
+}
+
+void RequestCompletion::finish(ActiveRequest& request, Termination termination, int status,
+                               TerminationReason reason, Time now, StepOutput& output) {
+    parts_.requests.finish(request);
+    const std::string& class_name = parts_.settings.module.classes[request.parsed.cls].name;
+    output.record(request.record(class_name, termination, status, reason, now));
+    parts_.requests.drop_body(request);
+}
+
+// Forgets a request that has its final answer and no attempt in flight. A state that is still held goes at
+// once.
+void RequestCompletion::remove_if_over(ActiveRequest& request, Time now, StepOutput& output) {
+    if (!request.finished() || request.attempt) return;
+    if (parts_.kv_states.has_deferred(request.id)) drop_deferred(request, output);
+    parts_.kv_states.finish(request.id, now, output);
+    parts_.requests.remove(request);
+}
+
+// The deferred attempt never began, and that says nothing of its server.
+void RequestCompletion::drop_deferred(ActiveRequest& request, StepOutput& output) {
+    const Send action = parts_.kv_states.take_deferred(request.id);
+    const AttemptId attempt{request.attempts++};
+    output.notify(AttemptEnded{
+        request.id, attempt, action.server, AttemptOutcome::not_sent, {}, request.finished(), false, 0, {}});
+}
+
+void RequestCompletion::answer_after(ActiveRequest& request, const UpstreamCall& call,
+                                     const AttemptResult& result, const std::string& detail, Time now,
+                                     StepOutput& output) {
+    if (result.client_error()) {
+        const ProtocolSession& session = *request.parsed.protocol_session;
+        send_response(request.client, session.verdict(call.status, call.head, call.body), output);
+        finish(request, Termination::rejected, call.status, TerminationReason::engine, now, output);
+    } else if (result.ok()) {
+        send_end_of_answer(request, output);
+        finish(request, Termination::served, kOk, TerminationReason::served, now, output);
+    } else if (request.stream_started()) {
+        const bool timed_out = result.ending == Ending::timed_out;
+        fail(request, timed_out ? kGatewayTimeout : kBadGateway,
+             timed_out ? TerminationReason::stream_time : TerminationReason::broken_stream,
+             "the answer broke off: " + (detail.empty() ? request.last_outcome : detail), now, output);
+    }
+}
+
+}  // namespace chalksail::core
--- /dev/null
+++ b/src/core/request_intake.cpp
@@ -0,0 +1,89 @@
+#include "core/request_intake.hpp"
+
+#include <algorithm>
+#include <memory>
+#include <utility>
+
+#include "core/client_response.hpp"
+
+namespace chalksail::core {
+
+using observe::Termination;
+using observe::TerminationReason;
+
+void RequestIntake::receive(ClientRequest& input, Time now, StepOutput& output) {
+    if (auto answer = parts_.protocol->answer(input.request, draining_))
+        return send_response(input.client, std::move(*answer), output);
+    using Reason = Protocol::RejectionReason;
+    const std::uint64_t number = parts_.requests.next_number();
+    if (draining_)
+        return reject(input.client, parts_.protocol->reject(input.request, number, Reason::draining),
+                      Termination::refused, TerminationReason::draining, output);
+    const std::size_t body_bytes = input.request.body.size();
+    if (!parts_.requests.has_capacity(body_bytes))
+        return reject(input.client, parts_.protocol->reject(input.request, number, Reason::limit),
+                      Termination::refused, TerminationReason::limit, output);
+    auto parsed = parts_.protocol->parse(input.request, number);
+    if (!parsed)
+        return reject(input.client, std::move(parsed.error()), Termination::rejected,
+                      TerminationReason::invalid, output);
+    start_request(input.client, std::move(*parsed), number, body_bytes, now, output);
+}
+
+void RequestIntake::reject(ClientId client, Rejection rejection, Termination termination,
+                           TerminationReason reason, StepOutput& output) {
+    observe::RequestRecord record;
+    record.request = std::move(rejection.name);
+    record.client_request = std::move(rejection.client_name);
+    record.termination = termination;
+    record.status = rejection.answer.status;
+    record.reason = reason;
+    output.record(std::move(record));
+    send_response(client, std::move(rejection.answer), output);
+}
+
+void RequestIntake::start_request(ClientId client, ParsedRequest parsed, std::uint64_t number,
+                                  std::size_t body_bytes, Time now, StepOutput& output) {
+    const Settings& settings = parts_.settings.module;
+    auto request = std::make_unique<ActiveRequest>();
+    request->id = {number};
+    request->client = client;
+    request->parsed = std::move(parsed);
+    request->body_bytes = body_bytes;
+    request->arrived = now;
+    const Duration own_time = std::max(settings.tick, request->parsed.deadline - settings.answer_slack);
+    request->deadline = std::min(now + own_time, std::max(answer_deadline_, now + settings.tick));
+    // Before the end of this gateway cuts the stream anyway.
+    if (answer_deadline_ != Time::max() && settings.stream_resumption_enabled)
+        request->migrate_at = answer_deadline_;
+    if (parts_.cache_index.enabled())
+        request->reported_prefixes =
+            parts_.cache_index.cached_prefixes(request->parsed.protocol_session->prompt_text());
+
+    ActiveRequest& added = parts_.requests.add(std::move(request));
+    parts_.kv_states.track(added.id, added.parsed.name);
+    output.notify(arrival_of(added, now));
+    parts_.requests.set_timer(added, added.deadline);
+}
+
+RequestArrived RequestIntake::arrival_of(const ActiveRequest& request, Time now) const {
+    const ParsedRequest& parsed = request.parsed;
+    RequestArrived arrived;
+    arrived.id = request.id;
+    arrived.class_name = parts_.settings.module.classes[parsed.cls].name;
+    arrived.tenant = parsed.tenant;
+    arrived.session = parsed.session;
+    arrived.prefix = parsed.prefix;
+    arrived.time_remaining = request.deadline - now;
+    arrived.output_duration_hint = parsed.length_hint;
+    arrived.prompt_tokens = parsed.prompt_tokens;
+    arrived.shared_tokens = parsed.shared_tokens;
+    arrived.max_output = parsed.max_output;
+    arrived.retry = parsed.retry;
+    arrived.resumes_stream = parsed.again;
+    for (const auto& cached : request.reported_prefixes)
+        if (parts_.cache_index.trusted(cached.server.value)) arrived.cached_prefixes.push_back(cached);
+    return arrived;
+}
+
+}  // namespace chalksail::core
--- /dev/null
+++ b/src/core/reserved_kv_states.cpp
@@ -0,0 +1,292 @@
+#include "core/reserved_kv_states.hpp"
+
+#include <algorithm>
+#include <cassert>
+#include <limits>
+#include <utility>
+
+namespace chalksail::core {
+
+using engine::Ending;
+using observe::HeldAction;
+using observe::HeldRecord;
+using observe::ReleaseReason;
+using observe::ServerAction;
+using observe::ServerRecord;
+
+namespace {
+
+// A release gives back memory that others wait for: it goes before all that would take some.
+constexpr double kReleasePriority = std::numeric_limits<double>::max();
+// Rounds after the first call that each call twice as many servers as the one before: two, four and eight.
+constexpr std::int64_t kWideningRounds = 3;
+// Responses with a status below are a success.
+constexpr int kFirstFailureStatus = 300;
+
+int calls_in_round(std::int64_t round) { return round <= kWideningRounds ? 1 << round : 1; }
+
+}  // namespace
+
+ReservedKvStates::Entry* ReservedKvStates::find(RequestId id) {
+    const auto it = entries_.find(id.value);
+    return it == entries_.end() ? nullptr : &it->second;
+}
+const ReservedKvStates::Entry* ReservedKvStates::find(RequestId id) const {
+    const auto it = entries_.find(id.value);
+    return it == entries_.end() ? nullptr : &it->second;
+}
+
+void ReservedKvStates::track(RequestId id, const std::string& name) { entries_[id.value].name = name; }
+
+void ReservedKvStates::finish(RequestId id, Time now, StepOutput& output) {
+    release(id, ReleaseReason::request_over, now, output);
+    entries_.erase(id.value);
+}
+
+void ReservedKvStates::hold(RequestId id, const UpstreamCall& prefill, const std::string& state, Time now,
+                            StepOutput& output) {
+    Entry& entry = *find(id);
+    const auto* const server = endpoints_.find(prefill.server);
+    entry.held = KvReservation{server == nullptr ? membership::EndpointConfig{} : *server, state,
+                               prefill.attempt.value, now};
+    held_count_ += 1;
+    output.record(HeldRecord{entry.name, HeldAction::held, prefill.server, ReleaseReason::none, Duration{}});
+}
+
+void ReservedKvStates::mark_fetched(RequestId id, const std::string& decode_server, Time now,
+                                    StepOutput& output) {
+    Entry& entry = *find(id);
+    if (entry.held) {
+        output.record(HeldRecord{entry.name, HeldAction::fetched, decode_server, ReleaseReason::none,
+                                 now - entry.held->since});
+        entry.held.reset();
+        held_count_ -= 1;
+    }
+    entry.pending.reset();
+}
+
+std::string ReservedKvStates::held_state(RequestId id) const {
+    const Entry* const entry = find(id);
+    return entry != nullptr && entry->held ? entry->held->state : std::string();
+}
+
+bool ReservedKvStates::holds_state(RequestId id) const {
+    const Entry* const entry = find(id);
+    return entry != nullptr && entry->held.has_value();
+}
+
+bool ReservedKvStates::holds_any(RequestId id) const {
+    const Entry* const entry = find(id);
+    return entry != nullptr && (entry->held || entry->pending);
+}
+
+std::optional<Time> ReservedKvStates::release_due(RequestId id) const {
+    if (!holds_any(id)) return std::nullopt;
+    const Entry& entry = *find(id);
+    Time since = Time::max();
+    if (entry.held) since = entry.held->since;
+    if (entry.pending) since = std::min(since, entry.pending->since);
+    return since + settings_.module.release_within;
+}
+
+void ReservedKvStates::make_pending(RequestId id, Entry& entry, ReleaseReason reason) {
+    entry.pending = std::exchange(entry.held, std::nullopt);
+    entry.pending->reason = reason;
+    held_count_ -= 1;
+    pending_.push_back(id);
+}
+
+void ReservedKvStates::attempt_ended(RequestId id, const UpstreamCall& call, const AttemptResult& result,
+                                     Time now, StepOutput& output) {
+    Entry& entry = *find(id);
+    // The decode server could not fetch the state. Its prefill server may have it all the same.
+    const bool not_fetched =
+        result.outcome() == AttemptOutcome::at_capacity && result.judgement.kv_state_missing;
+    if (not_fetched && entry.held) {
+        if (release_covers_request()) make_pending(id, entry, ReleaseReason::not_fetched);
+        else release(id, ReleaseReason::not_fetched, now, output);
+    }
+    // Guards against a clock that is set back by ends that prove nothing: bytes that were written may lie
+    // unread at a server that hangs, and their connection may break or be given up all the same.
+    if (result.proves_arrival(call)) {
+        if (entry.held) entry.held->since = now;
+        if (entry.pending) entry.pending->since = now;
+    }
+    if (!result.may_have_left_kv_state(call)) return;
+    const auto* const server = endpoints_.find(call.server);
+    if (server == nullptr) return;
+    if (!release_covers_request()) {
+        begin_release({}, {entry.name, call.attempt.value, "", ReleaseReason::read_may_have_ended, now},
+                      *server, now, output);
+        return;
+    }
+    // One call releases what each of its prefills may have left: the earliest counts.
+    const Time since = entry.pending ? entry.pending->since : now;
+    entry.pending = KvReservation{*server, "", call.attempt.value, since};
+    pending_.push_back(id);
+}
+
+bool ReservedKvStates::release_ended(const UpstreamCall& call, Ending ending, Time now, StepOutput& output) {
+    const auto in_flight = release_calls_.extract(call.id);
+    assert(!in_flight.empty());
+    const ReleaseCall& release = in_flight.mapped();
+    const bool answered = ending == Ending::answered;
+    const bool has_none = answered && protocol_.no_release(call.status);
+    const bool done = answered && call.status < kFirstFailureStatus;
+    if (has_none) without_release_.insert(call.server);
+    const char* const result = done ? "ok" : has_none ? "none" : "failed";
+    output.record(ServerRecord{call.server, ServerAction::release, result});
+    output.record(HeldRecord{release.name, done ? HeldAction::release_done : HeldAction::release_failed,
+                             call.server, release.reason, now - release.held_since});
+    release.progress->done = release.progress->done || done;
+    // Where any server takes it others are called at once: the time to release runs on while one is silent.
+    const bool repeat = release_covers_request() && !release.progress->done && release.leads;
+    if (!repeat) return true;
+    Entry* const entry = find(call.request);
+    if (entry == nullptr || !entry->held)
+        return !begin_next_round(call.request, release, call.server, now, output);
+    // Not once a prefill has ended well after it: a repeat would take that state, too, which has its own
+    // time.
+    const auto* const server = endpoints_.find(call.server);
+    if (server != nullptr && !entry->pending)
+        entry->pending =
+            KvReservation{*server, release.state, release.attempt, entry->held->since, release.reason};
+    pending_.push_back(call.request);
+    return false;
+}
+
+// Guards against a release that meets one silent server after another, as where a zone is cut off: the rounds
+// widen.
+bool ReservedKvStates::begin_next_round(RequestId id, ReleaseCall release, const std::string& failed_at,
+                                        Time now, StepOutput& output) {
+    ReleaseProgress& progress = *release.progress;
+    if (progress.rounds >= settings_.limits.release_attempts) return false;
+    progress.rounds += 1;
+    std::optional<CallId> leading;
+    for (int i = 0; i < calls_in_round(progress.rounds); ++i) {
+        const membership::EndpointConfig* next = endpoints_.last_active(progress.called);
+        if (next == nullptr && !leading) {  // all have been called: once more
+            progress.called = {failed_at};
+            next = endpoints_.last_active(progress.called);
+        }
+        if (next == nullptr) break;
+        release.leads = !leading;
+        const auto call = begin_release(id, release, *next, now, output);
+        if (release.leads) leading = call;
+    }
+    if (!leading) return false;
+    if (Entry* const entry = find(id)) entry->last_release = leading;
+    return true;
+}
+
+void ReservedKvStates::reservation_ended(const UpstreamCall& call, Time now) {
+    Entry& entry = *find(call.request);
+    const auto* const server = endpoints_.find(call.server);
+    if (server != nullptr && !entry.pending)
+        entry.pending = KvReservation{*server, "", call.attempt.value, now, ReleaseReason::place_may_be_held};
+    pending_.push_back(call.request);
+}
+
+void ReservedKvStates::release(RequestId id, ReleaseReason reason, Time now, StepOutput& output) {
+    if (!holds_any(id)) return;
+    Entry& entry = *find(id);
+    if (!entry.held) reason = entry.pending->reason;
+    const KvReservation reservation = entry.held ? std::move(*entry.held) : std::move(*entry.pending);
+    if (entry.held) held_count_ -= 1;
+    entry.held.reset();
+    entry.pending.reset();
+    release_entry(id, entry, reservation, reason, now, output);
+}
+
+// Servers keep what an attempt waits for: where the attempt has arrived, the release takes nothing from it,
+// and where it has not, nothing is left behind. Which of the two holds shows only with its answer; until then
+// the release is repeated, as the server may die with the attempt.
+void ReservedKvStates::release_beside_attempt(RequestId id, ReleaseReason reason, Time now,
+                                              StepOutput& output) {
+    assert(release_covers_request());
+    Entry& entry = *find(id);
+    if (entry.held) {
+        output.notify(KvStateReleased{id});
+        make_pending(id, entry, reason);
+    }
+    release_entry(id, entry, *entry.pending, entry.pending->reason, now, output);
+    entry.pending->since = now;
+}
+
+void ReservedKvStates::release_entry(RequestId id, Entry& entry, const KvReservation& reservation,
+                                     ReleaseReason reason, Time now, StepOutput& output) {
+    const auto call =
+        begin_release(id, {entry.name, reservation.attempt, reservation.state, reason, reservation.since},
+                      reservation.server, now, output);
+    if (call) entry.last_release = call;
+}
+
+void ReservedKvStates::release_pending(const std::function<bool(RequestId)>& attempt_in_flight, Time now,
+                                       StepOutput& output) {
+    std::vector<RequestId> waiting;
+    for (const RequestId id : std::exchange(pending_, {})) {
+        const Entry* const entry = find(id);
+        if (entry == nullptr || !entry->pending) continue;
+        // With a state that is held, both are released together.
+        if (attempt_in_flight(id) || entry->held) waiting.push_back(id);
+        else release(id, entry->pending->reason, now, output);
+    }
+    pending_ = std::move(waiting);
+}
+
+std::optional<CallId> ReservedKvStates::begin_release(RequestId id, ReleaseCall release,
+                                                      const membership::EndpointConfig& holder, Time now,
+                                                      StepOutput& output) {
+    if (release.progress == nullptr) release.progress = std::make_shared<ReleaseProgress>();
+    // The server that was active last is the likeliest to run and to be reached.
+    const membership::EndpointConfig* const likeliest =
+        release_covers_request() ? endpoints_.last_active(release.progress->called) : nullptr;
+    const membership::EndpointConfig& to = likeliest != nullptr ? *likeliest : holder;
+    const std::string& server = to.endpoint.id.value;
+    auto request = protocol_.release(release.name, release.attempt, release.state, to.endpoint.kind);
+    if (!request || without_release_.contains(server)) {
+        // Counted and logged: the state stays until the engine drops it by its own time.
+        output.record(ServerRecord{server, ServerAction::release, "none"});
+        return std::nullopt;
+    }
+    release.progress->called.insert(server);
+    output.record(
+        HeldRecord{release.name, HeldAction::release, server, release.reason, now - release.held_since});
+    UpstreamCall& call =
+        calls_.begin(CallKind::release, to, std::move(*request), kReleasePriority, now, output);
+    call.request = id;
+    calls_.set_timer(call, now + release_timeout());
+    release_calls_.emplace(call.id, std::move(release));
+    return call.id;
+}
+
+Duration ReservedKvStates::release_timeout() const {
+    const auto& limits = settings_.limits;
+    return limits.release_retry > Duration::zero() ? limits.release_retry : limits.release_timeout;
+}
+
+bool ReservedKvStates::defers_attempts(RequestId id) const {
+    const Entry* const entry = find(id);
+    if (entry == nullptr || !entry->last_release || !release_covers_request()) return false;
+    const UpstreamCall* const call = calls_.find(*entry->last_release);
+    return call != nullptr && !call->written();
+}
+
+void ReservedKvStates::defer(RequestId id, const Send& attempt) { find(id)->deferred = attempt; }
+
+bool ReservedKvStates::has_deferred(RequestId id) const {
+    const Entry* const entry = find(id);
+    return entry != nullptr && entry->deferred.has_value();
+}
+
+std::optional<Send> ReservedKvStates::take_ready_attempt(RequestId id) {
+    if (!has_deferred(id) || defers_attempts(id)) return std::nullopt;
+    return take_deferred(id);
+}
+
+Send ReservedKvStates::take_deferred(RequestId id) {
+    assert(has_deferred(id));
+    return *std::exchange(find(id)->deferred, std::nullopt);
+}
+
+}  // namespace chalksail::core
--- a/src/core/routing_policy.hpp
+++ b/src/core/routing_policy.hpp
@@ -1,12 +1,19 @@
-// What decides for an edge: the module, or a baseline that the laboratory compares it with. The contract is
-// that of chalksail::Router; the edge's guards stand between either and the wire.
+// What decides for an edge: the router of src/policy, or a baseline that the laboratory compares it with. The
+// contract is that of chalksail::Router; the core's guards (attempt_guard.hpp) stand between either and the
+// wire.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
 #include <cstddef>
+#include <map>
+#include <memory>
+#include <optional>
 #include <span>
 #include <vector>
 
+#include "config/settings.hpp"
+#include "core/step_output.hpp"
+
 namespace chalksail::core {
 
 class RoutingPolicy {
@@ -16,4 +23,28 @@
     [[nodiscard]] virtual std::size_t tracked_requests() const = 0;
 };
 
+// The router of src/policy. Throws std::invalid_argument if it refuses its settings.
+[[nodiscard]] std::unique_ptr<RoutingPolicy> make_router_policy(const config::EdgeSettings& settings);
+
+// A routing policy together with the timers that it has set. Not thread-safe.
+class RouterHost {
+public:
+    explicit RouterHost(std::unique_ptr<RoutingPolicy> policy) : policy_(std::move(policy)) {}
+
+    // Hands the policy the events and returns its actions, to be carried out in order.
+    [[nodiscard]] std::vector<Action> step(Time now, std::span<const Event> events) {
+        return policy_->step(now, events);
+    }
+    [[nodiscard]] std::size_t tracked_requests() const { return policy_->tracked_requests(); }
+
+    void set_timer(Time at, TimerId id) { timers_.emplace(at, id); }
+    // Notifies the policy of the timers that are due.
+    void run_timers(Time now, StepOutput& output);
+    [[nodiscard]] std::optional<Time> next_timer() const;
+
+private:
+    std::unique_ptr<RoutingPolicy> policy_;
+    std::multimap<Time, TimerId> timers_;
+};
+
 }  // namespace chalksail::core
