--- a/src/core/attempt_guard.hpp
+++ b/src/core/attempt_guard.hpp
@@ -37,7 +37,7 @@
     [[nodiscard]] bool repeat_allowed(const ActiveRequest& request, const std::string& server,
                                       Time now) const;
     [[nodiscard]] const RequestClassSettings& class_of(const ActiveRequest& request) const {
-        return settings_.classes[request.parsed.cls];
+        return settings_.classes[request.parsed.class_index];
     }
 
     const Settings& settings_;
--- a/src/core/attempt_runner.cpp
+++ b/src/core/attempt_runner.cpp
@@ -23,9 +23,10 @@
     const AttemptId attempt{request.attempts++};
     const bool prefill = role_of(parts_.settings.module, server.endpoint.kind) == Role::prefill;
     const Duration time_left = request.deadline - now;
-    auto message = prefill ? session.read(attempt.value, time_left)
-                           : session.write(attempt.value, parts_.kv_states.held_state(request.id), time_left);
-    const double priority = parts_.settings.module.classes[request.parsed.cls].priority_weight;
+    auto message =
+        prefill ? session.prefill_request(attempt.value, time_left)
+                : session.decode_request(attempt.value, parts_.kv_states.held_state(request.id), time_left);
+    const double priority = parts_.settings.module.classes[request.parsed.class_index].priority_weight;
     UpstreamCall& call =
         parts_.calls.begin(CallKind::attempt, server, std::move(message), priority, now, output);
     call.request = request.id;
@@ -55,7 +56,7 @@
         case DecodeResponseParser::State::whole:
             output.emit(CompleteCall{id});
             return end(id, Ending::answered, "", now, output);
-        case DecodeResponseParser::State::spoilt:
+        case DecodeResponseParser::State::malformed:
             return abort(id, Ending::bad_answer, progress.detail, now, output);
     }
 }
@@ -115,7 +116,7 @@
     if (result.prefill) event.cached_prompt_tokens = result.prefill->cached_tokens.value_or(0);
     else if (!call.prefill && result.ok())
         event.cached_prompt_tokens = request.parsed.protocol_session->cached_tokens();
-    event.load_report = call.head.report;
+    event.load_report = call.head.load_report;
     return event;
 }
 
--- a/src/core/edge.cpp
+++ b/src/core/edge.cpp
@@ -186,8 +186,8 @@
     if (ending == Ending::unverified) attempts_.mark_unverified(call.server, detail, now_, output_);
     switch (call.kind) {
         case CallKind::attempt: return;
-        case CallKind::probe: return end_health_check(call, ending);
-        case CallKind::lease: return end_reservation(call, ending);
+        case CallKind::health_check: return end_health_check(call, ending);
+        case CallKind::reservation: return end_reservation(call, ending);
         case CallKind::verify: return end_verification(call, ending);
         case CallKind::release:
             if (parts_.kv_states.release_ended(call, ending, now_, output_)) resume_deferred(call.request);
@@ -196,23 +196,23 @@
 }
 
 void Edge::end_reservation(const UpstreamCall& call, Ending ending) {
-    using Lease = Protocol::Lease;
-    const Lease lease =
-        ending == Ending::answered ? parts_.protocol->lease_answer(call.status) : Lease::not_known;
+    using Reservation = Protocol::Reservation;
+    const Reservation reservation =
+        ending == Ending::answered ? parts_.protocol->reservation_state(call.status) : Reservation::unknown;
     const ActiveRequest* const request = parts_.requests.find(call.request);
     if (request == nullptr) return;
-    if (lease != Lease::not_known)
-        output_.notify(ReservationResult{request->id, {call.server}, lease == Lease::held});
-    if (lease != Lease::not_held && call.sent() && !request->stream_started())
+    if (reservation != Reservation::unknown)
+        output_.notify(ReservationResult{request->id, {call.server}, reservation == Reservation::held});
+    if (reservation != Reservation::not_held && call.sent() && !request->stream_started())
         parts_.kv_states.reservation_ended(call, now_);
 }
 
 void Edge::end_health_check(const UpstreamCall& call, Ending ending) {
     const AttemptOutcome outcome = judge_health_check(call, ending);
-    output_.record(
-        observe::ServerRecord{call.server, observe::ServerAction::probe, std::string(engine::name(outcome))});
+    output_.record(observe::ServerRecord{call.server, observe::ServerAction::health_check,
+                                         std::string(engine::name(outcome))});
     output_.notify(HealthCheckEnded{
-        {call.server}, outcome, now_ - call.begun, parts_.protocol->probe_report(call.head, call.body)});
+        {call.server}, outcome, now_ - call.begun, parts_.protocol->health_check_load(call.head, call.body)});
 }
 
 void Edge::end_verification(const UpstreamCall& call, Ending ending) {
@@ -291,7 +291,7 @@
                          output_);
         return completion_.remove_if_over(*request, now_, output_);
     }
-    auto answer = request->parsed.protocol_session->refusal(action.retry_after);
+    auto answer = request->parsed.protocol_session->rejection(action.retry_after);
     const int status = answer.status;
     send_response(request->client, std::move(answer), output_);
     completion_.finish(*request, Termination::refused, status,
@@ -359,10 +359,11 @@
 void Edge::apply(const Reserve& action) {
     const ActiveRequest* const request = parts_.requests.find(action.id);
     if (request == nullptr || request->finished() || !parts_.endpoints.is_up(action.server.value)) return;
-    auto message = parts_.protocol->lease(request->parsed.name);
+    auto message = parts_.protocol->reservation_request(request->parsed.name);
     if (!message || !parts_.settings.module.early_reservation_enabled) return;
-    UpstreamCall& call = parts_.calls.begin(CallKind::lease, *parts_.endpoints.find(action.server.value),
-                                            std::move(*message), 0, now_, output_);
+    UpstreamCall& call =
+        parts_.calls.begin(CallKind::reservation, *parts_.endpoints.find(action.server.value),
+                           std::move(*message), 0, now_, output_);
     call.request = request->id;
     parts_.calls.set_timer(call, std::max(request->deadline, now_ + parts_.settings.limits.release_timeout));
 }
@@ -372,8 +373,8 @@
     const auto* const server = parts_.endpoints.find(name);
     if (server == nullptr || parts_.endpoints.unverified(name))
         return output_.notify(HealthCheckEnded{action.server, AttemptOutcome::not_sent, {}, {}});
-    UpstreamCall& call =
-        parts_.calls.begin(CallKind::probe, *server, parts_.protocol->probe(), 0, now_, output_);
+    UpstreamCall& call = parts_.calls.begin(CallKind::health_check, *server,
+                                            parts_.protocol->health_check_request(), 0, now_, output_);
     parts_.calls.set_timer(call, now_ + parts_.settings.limits.release_timeout);
 }
 
@@ -430,7 +431,7 @@
         return attempts_.abort(attempt.id, Ending::cancelled, "no connection in the state's time", now_,
                                output_);
     if (!parts_.kv_states.release_covers_request()) return;
-    parts_.kv_states.release_beside_attempt(request.id, ReleaseReason::write_unanswered, now_, output_);
+    parts_.kv_states.release_beside_attempt(request.id, ReleaseReason::decode_unanswered, now_, output_);
     attempts_.set_timer(request, attempt);
 }
 
--- a/src/core/effects.hpp
+++ b/src/core/effects.hpp
@@ -42,11 +42,11 @@
 // ---- calls to servers ----
 
 enum class CallKind {
-    attempt,  // a prefill or decode attempt of a request
-    release,  // releases a reserved KV state
-    lease,    // reserves capacity at a decode server
-    probe,    // a health check
-    verify,   // only a connection whose server has proved its name, with no request; done or failed
+    attempt,      // a prefill or decode attempt of a request
+    release,      // releases a reserved KV state
+    reservation,  // reserves capacity at a decode server
+    health_check,
+    verify,  // only a connection whose server has proved its name, with no request; done or failed
 };
 // Begins an HTTP exchange with a server.
 struct Call {
--- a/src/core/platform_protocol.cpp
+++ b/src/core/platform_protocol.cpp
@@ -26,9 +26,9 @@
         Progress out;
         out.to_client = std::move(events.bytes);
         out.events = events.count;
-        // Its end is the answer's last chunk: a stream may still be spoilt after its [DONE].
+        // A stream ends with the response's last chunk: it may still turn out malformed after its [DONE].
         if (reader_->spoilt()) {
-            out.state = State::spoilt;
+            out.state = State::malformed;
             out.detail = "no event, or one too large";
         }
         return out;
@@ -56,18 +56,21 @@
     Request(const Request&) = delete;
     Request& operator=(const Request&) = delete;
 
-    // Readers and writers get the same: the request's id is enough to find its state.
-    [[nodiscard]] ServerRequest read(std::int64_t, Duration left) const override { return passed_on(left); }
-    [[nodiscard]] ServerRequest write(std::int64_t, const std::string&, Duration left) const override {
-        return passed_on(left);
+    // Prefill and decode servers get the same: the request's id is enough to find its KV state.
+    [[nodiscard]] ServerRequest prefill_request(std::int64_t, Duration time_left) const override {
+        return server_request(time_left);
+    }
+    [[nodiscard]] ServerRequest decode_request(std::int64_t, const std::string&,
+                                               Duration time_left) const override {
+        return server_request(time_left);
     }
     [[nodiscard]] std::unique_ptr<DecodeResponseParser> decode_parser() override {
         auto reader = std::make_shared<platform::EventReader>(owner_.settings_.limits.event_bytes);
         reader_ = reader;
         return std::make_unique<PlatformEvents>(std::move(reader));
     }
-    void update_time_left(http::Headers& headers, Duration left) const override {
-        headers.set(platform::kTimeLeftHeader, platform::format_time_left(left));
+    void update_time_left(http::Headers& headers, Duration time_left) const override {
+        headers.set(platform::kTimeLeftHeader, platform::format_time_left(time_left));
     }
     void drop_request() override { std::string().swap(body_); }
 
@@ -87,7 +90,7 @@
     [[nodiscard]] std::optional<std::string> stream_error(int, const std::string&) const override {
         return std::nullopt;
     }
-    [[nodiscard]] Answer refusal(Duration retry_after) const override {
+    [[nodiscard]] Answer rejection(Duration retry_after) const override {
         auto out = error_answer(503, "no room to serve this in time; nothing was done");
         if (retry_after > Duration::zero())
             out.headers.add("Retry-After", platform::format_retry_after(retry_after));
@@ -96,17 +99,17 @@
     [[nodiscard]] Answer failure(int status, const std::string& message, bool) const override {
         return error_answer(status, message);
     }
-    [[nodiscard]] Answer verdict(int status, const ResponseHead&, std::string) const override {
+    [[nodiscard]] Answer server_rejection(int status, const ResponseHead&, std::string) const override {
         return error_answer(status, "the model server turned it down");
     }
 
 private:
-    [[nodiscard]] ServerRequest passed_on(Duration left) const {
+    [[nodiscard]] ServerRequest server_request(Duration time_left) const {
         ServerRequest out{method_, target_, {}, body_};
         out.headers.add("Content-Type", "application/json");
         out.headers.add(std::string(platform::kIdHeader), id_);
-        out.headers.add(std::string(platform::kTimeLeftHeader), platform::format_time_left(left));
-        // Guards against repeats that servers can't tell for such: by this key they drop them.
+        out.headers.add(std::string(platform::kTimeLeftHeader), platform::format_time_left(time_left));
+        // Servers recognize repeats by this key, and drop them.
         if (!idempotency_key_.empty())
             out.headers.add(std::string(platform::kIdempotencyHeader), idempotency_key_);
         return out;
@@ -132,8 +135,9 @@
     return std::nullopt;
 }
 
-Rejection PlatformProtocol::reject(const http::Request& request, std::uint64_t, RejectionReason why) const {
-    const bool draining = why == RejectionReason::draining;
+Rejection PlatformProtocol::reject(const http::Request& request, std::uint64_t,
+                                   RejectionReason reason) const {
+    const bool draining = reason == RejectionReason::draining;
     Rejection out{error_answer(503, draining ? "this gateway is going away" : "too many open requests"),
                   std::string(request.headers.get(platform::kIdHeader)),
                   {}};
@@ -148,28 +152,28 @@
     const auto reject = [&](int status, std::string_view message) {
         return tl::unexpected(Rejection{error_answer(status, message), {}, {}});
     };
-    auto told = platform::read_request(request);
-    if (!told) return reject(400, told.error());
+    auto decoded = platform::read_request(request);
+    if (!decoded) return reject(400, decoded.error());
     const auto& classes = settings_.module.classes;
     const auto cls = std::find_if(classes.begin(), classes.end(),
-                                  [&](const auto& c) { return c.name == told->class_name; });
+                                  [&](const auto& c) { return c.name == decoded->class_name; });
     if (cls == classes.end()) return reject(400, "X-Service-Class: no such class");
     // Two requests of one id could not be told apart at the servers.
-    if (open_.contains(told->id)) return reject(409, "X-Correlation-Id: of a request that is open");
+    if (open_.contains(decoded->id)) return reject(409, "X-Correlation-Id: of a request that is open");
     ParsedRequest out;
-    out.name = told->id;
-    out.cls = static_cast<std::size_t>(cls - classes.begin());
-    out.tenant = std::move(told->tenant);
-    out.session = told->session.empty() ? told->id : std::move(told->session);
-    out.prefix = std::move(told->prefix);
-    out.deadline = told->time_left;
-    out.prompt_tokens = told->prompt_tokens;
-    out.shared_tokens = told->shared_tokens;
-    out.max_output = told->max_output;
-    out.retry = told->retry;
-    out.again = told->again;
-    out.protocol_session = std::make_unique<Request>(*this, std::move(told->id),
-                                                     std::move(told->idempotency_key), std::move(request));
+    out.name = decoded->id;
+    out.class_index = static_cast<std::size_t>(cls - classes.begin());
+    out.tenant = std::move(decoded->tenant);
+    out.session = decoded->session.empty() ? decoded->id : std::move(decoded->session);
+    out.prefix = std::move(decoded->prefix);
+    out.deadline = decoded->time_left;
+    out.prompt_tokens = decoded->prompt_tokens;
+    out.shared_tokens = decoded->shared_tokens;
+    out.max_output = decoded->max_output;
+    out.retry = decoded->retry;
+    out.resumes_stream = decoded->again;
+    out.protocol_session = std::make_unique<Request>(*this, std::move(decoded->id),
+                                                     std::move(decoded->idempotency_key), std::move(request));
     return out;
 }
 
@@ -193,7 +197,7 @@
         case engine::Ending::answered: facts.ended = platform::Ended::answered; break;
         case engine::Ending::no_resources:
         case engine::Ending::expired:
-            // Our own trouble tells nothing of the server: it is as if the attempt had never been made.
+            // A fault of this machine says nothing of the server: as if the attempt had never been made.
             if (!f.sent) return {AttemptOutcome::not_sent, 0, false};
             facts.ended = platform::Ended::broke;
             break;
@@ -219,15 +223,19 @@
                                                        const std::string&, const std::string&) const {
     return ServerRequest{"DELETE", platform::lease_target(name), {}, ""};
 }
-std::optional<ServerRequest> PlatformProtocol::lease(const std::string& name) const {
+std::optional<ServerRequest> PlatformProtocol::reservation_request(const std::string& name) const {
     return ServerRequest{"POST", platform::lease_target(name), {}, ""};
 }
-Protocol::Lease PlatformProtocol::lease_answer(int status) const {
-    if (status == 200) return Lease::held;
-    return status == 204 ? Lease::not_known : Lease::not_held;
+Protocol::Reservation PlatformProtocol::reservation_state(int status) const {
+    if (status == 200) return Reservation::held;
+    return status == 204 ? Reservation::unknown : Reservation::not_held;
 }
 
-ServerRequest PlatformProtocol::probe() const { return {"GET", std::string(platform::kHealthPath), {}, ""}; }
-std::vector<double> PlatformProtocol::probe_report(const ResponseHead&, std::string_view) const { return {}; }
+ServerRequest PlatformProtocol::health_check_request() const {
+    return {"GET", std::string(platform::kHealthPath), {}, ""};
+}
+std::vector<double> PlatformProtocol::health_check_load(const ResponseHead&, std::string_view) const {
+    return {};
+}
 
 }  // namespace chalksail::core
--- a/src/core/platform_protocol.hpp
+++ b/src/core/platform_protocol.hpp
@@ -1,4 +1,5 @@
-// The users' platform: the codecs of src/platform put together.
+// The users' platform: the codecs of src/platform put together. See protocol.hpp for ownership, threads and
+// errors.
 #pragma once
 
 #include <unordered_set>
@@ -13,7 +14,7 @@
 
     [[nodiscard]] std::optional<Answer> answer(const http::Request& request, bool draining) const override;
     [[nodiscard]] Rejection reject(const http::Request& request, std::uint64_t number,
-                                   RejectionReason why) const override;
+                                   RejectionReason reason) const override;
     [[nodiscard]] tl::expected<ParsedRequest, Rejection> parse(http::Request& request,
                                                                std::uint64_t number) override;
     [[nodiscard]] ResponseHead read_head(int status, const http::Headers& headers) const override;
@@ -25,17 +26,17 @@
     [[nodiscard]] std::optional<ServerRequest> release(const std::string& name, std::int64_t attempt,
                                                        const std::string& state,
                                                        const std::string& kind) const override;
-    [[nodiscard]] bool no_release(int) const override { return false; }
-    [[nodiscard]] std::optional<ServerRequest> lease(const std::string& name) const override;
-    [[nodiscard]] Lease lease_answer(int status) const override;
-    [[nodiscard]] ServerRequest probe() const override;
-    [[nodiscard]] std::vector<double> probe_report(const ResponseHead& head,
-                                                   std::string_view body) const override;
+    [[nodiscard]] bool lacks_release_call(int) const override { return false; }
+    [[nodiscard]] std::optional<ServerRequest> reservation_request(const std::string& name) const override;
+    [[nodiscard]] Reservation reservation_state(int status) const override;
+    [[nodiscard]] ServerRequest health_check_request() const override;
+    [[nodiscard]] std::vector<double> health_check_load(const ResponseHead& head,
+                                                        std::string_view body) const override;
 
 private:
     class Request;
     config::EdgeSettings settings_;
-    std::unordered_set<std::string> open_;  // ids: no two requests share one while either is kept
+    std::unordered_set<std::string> open_;  // ids of sessions: no two open requests share one
 };
 
 }  // namespace chalksail::core
--- a/src/core/platform_settings.hpp
+++ b/src/core/platform_settings.hpp
@@ -1,4 +1,5 @@
-// An edge's settings on the users' platform: what its configuration says, and limits that fit what it allows.
+// An edge's settings on the users' platform: those of its configuration, and limits derived from what the
+// platform allows one process. Pure function; no state.
 #pragma once
 
 #include "config/settings.hpp"
@@ -6,7 +7,7 @@
 
 namespace chalksail::core {
 
-// Throws std::invalid_argument if the module would refuse them.
-[[nodiscard]] config::EdgeSettings platform_settings(const platform::Configuration& told);
+// Throws std::invalid_argument if the router would refuse them.
+[[nodiscard]] config::EdgeSettings platform_settings(const platform::Configuration& configuration);
 
 }  // namespace chalksail::core
--- a/src/core/request_completion.cpp
+++ b/src/core/request_completion.cpp
@@ -17,7 +17,7 @@
 void RequestCompletion::finish(ActiveRequest& request, Termination termination, int status,
                                TerminationReason reason, Time now, StepOutput& output) {
     parts_.requests.finish(request);
-    const std::string& class_name = parts_.settings.module.classes[request.parsed.cls].name;
+    const std::string& class_name = parts_.settings.module.classes[request.parsed.class_index].name;
     output.record(request.record(class_name, termination, status, reason, now));
     parts_.requests.drop_body(request);
 }
@@ -44,7 +44,7 @@
                                      StepOutput& output) {
     if (result.client_error()) {
         const ProtocolSession& session = *request.parsed.protocol_session;
-        send_response(request.client, session.verdict(call.status, call.head, call.body), output);
+        send_response(request.client, session.server_rejection(call.status, call.head, call.body), output);
         finish(request, Termination::rejected, call.status, TerminationReason::engine, now, output);
     } else if (result.ok()) {
         send_end_of_answer(request, output);
--- a/src/core/request_intake.cpp
+++ b/src/core/request_intake.cpp
@@ -70,17 +70,17 @@
     const ParsedRequest& parsed = request.parsed;
     RequestArrived arrived;
     arrived.id = request.id;
-    arrived.class_name = parts_.settings.module.classes[parsed.cls].name;
+    arrived.class_name = parts_.settings.module.classes[parsed.class_index].name;
     arrived.tenant = parsed.tenant;
     arrived.session = parsed.session;
     arrived.prefix = parsed.prefix;
     arrived.time_remaining = request.deadline - now;
-    arrived.output_duration_hint = parsed.length_hint;
+    arrived.output_duration_hint = parsed.output_duration_hint;
     arrived.prompt_tokens = parsed.prompt_tokens;
     arrived.shared_tokens = parsed.shared_tokens;
     arrived.max_output = parsed.max_output;
     arrived.retry = parsed.retry;
-    arrived.resumes_stream = parsed.again;
+    arrived.resumes_stream = parsed.resumes_stream;
     for (const auto& cached : request.reported_prefixes)
         if (parts_.cache_index.trusted(cached.server.value)) arrived.cached_prefixes.push_back(cached);
     return arrived;
--- a/src/core/reserved_kv_states.cpp
+++ b/src/core/reserved_kv_states.cpp
@@ -116,7 +116,7 @@
     const auto* const server = endpoints_.find(call.server);
     if (server == nullptr) return;
     if (!release_covers_request()) {
-        begin_release({}, {entry.name, call.attempt.value, "", ReleaseReason::read_may_have_ended, now},
+        begin_release({}, {entry.name, call.attempt.value, "", ReleaseReason::prefill_may_have_ended, now},
                       *server, now, output);
         return;
     }
@@ -131,7 +131,7 @@
     assert(!in_flight.empty());
     const ReleaseCall& release = in_flight.mapped();
     const bool answered = ending == Ending::answered;
-    const bool has_none = answered && protocol_.no_release(call.status);
+    const bool has_none = answered && protocol_.lacks_release_call(call.status);
     const bool done = answered && call.status < kFirstFailureStatus;
     if (has_none) without_release_.insert(call.server);
     const char* const result = done ? "ok" : has_none ? "none" : "failed";
@@ -183,7 +183,8 @@
     Entry& entry = *find(call.request);
     const auto* const server = endpoints_.find(call.server);
     if (server != nullptr && !entry.pending)
-        entry.pending = KvReservation{*server, "", call.attempt.value, now, ReleaseReason::place_may_be_held};
+        entry.pending =
+            KvReservation{*server, "", call.attempt.value, now, ReleaseReason::reservation_may_be_held};
     pending_.push_back(call.request);
 }
 
--- a/src/core/reserved_kv_states.hpp
+++ b/src/core/reserved_kv_states.hpp
@@ -37,7 +37,7 @@
     std::int64_t attempt = 0;           // that left it
     Time since{};                       // from when on no attempt has been known to be with a server
     // Of a pending release.
-    observe::ReleaseReason reason = observe::ReleaseReason::read_may_have_ended;
+    observe::ReleaseReason reason = observe::ReleaseReason::prefill_may_have_ended;
 };
 
 class ReservedKvStates {
--- a/src/core/shutdown.hpp
+++ b/src/core/shutdown.hpp
@@ -1,8 +1,8 @@
-// When a gateway that was told to end stops taking requests, and when it may end. Free of I/O and clock.
+// The phases of a graceful shutdown: when a gateway stops accepting requests, and when its process may exit.
 //
-// The rule: a process does not end by itself while something that it has taken is unanswered. What each
-// request, stream and connection may last is limited by its own settings; a limit for the whole shutdown
-// (EdgeLimits::drain) is for operators who want one. Whoever kills the process later does that by own rules.
+// A process does not exit by itself while a request that it has accepted is unanswered. How long a request, a
+// stream or a connection may last is limited by its own settings; a limit for the whole shutdown
+// (EdgeLimits::drain) is for operators who want one. Free of I/O and clock; not thread-safe; no errors.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -14,9 +14,9 @@
 
 class Shutdown {
 public:
-    // What the gateway still has in hand.
+    // What the gateway has not completed.
     struct Outstanding {
-        std::size_t requests = 0;  // taken, without a final answer
+        std::size_t requests = 0;  // accepted, without a final answer
         std::size_t calls = 0;     // to servers, releases among them
         std::size_t connections = 0;
         bool listening = false;  // connections may wait in the backlog, with requests written to them
@@ -26,27 +26,29 @@
     };
     enum class Step {
         wait,
-        stop_taking,     // new requests are turned away, connections without one are ended
-        answer_all,      // the limit is over: what is open gets its final answer now
-        end_connections  // all that was said is out: every connection is ended, answered or not
+        stop_accepting,  // new requests are rejected, connections without one are closed
+        answer_all,      // the limit is over: open requests get their final answer now
+        end_connections  // the answers are written: every connection is closed
     };
 
     Shutdown(Time now, const config::EdgeLimits& limits);
 
-    // What is to be done now. Each step but `wait` comes once, in the order above.
+    // What is to be done now. Each step but `wait` comes once, in the order above. The one place where the
+    // phase changes.
     [[nodiscard]] Step next(Time now);
-    // Whether the process may end.
+    // May the process exit?
     [[nodiscard]] bool over(Time now, const Outstanding& outstanding) const;
+    // Since the shutdown began.
     [[nodiscard]] Duration age(Time now) const { return now - begun_; }
 
 private:
-    enum class Phase { taking, finishing, answered, ended };
+    enum class Phase { accepting, draining, answered, closed };
 
     Time begun_;
-    Time take_until_;
+    Time accept_until_;
     Time answer_until_;  // Time::max(): no limit
-    Duration linger_;    // that the other ends of connections have to close theirs
-    Phase phase_ = Phase::taking;
+    Duration linger_;    // that clients have to close their ends of connections
+    Phase phase_ = Phase::accepting;
 };
 
 }  // namespace chalksail::core
--- a/src/core/vllm_protocol.cpp
+++ b/src/core/vllm_protocol.cpp
@@ -15,6 +15,9 @@
 namespace chalksail::core {
 namespace {
 
+// A client's time-out beyond a day is taken for a day: no overflow in nanoseconds.
+constexpr std::int64_t kMaxTimeoutMs = 86'400'000;
+
 http::Headers json_headers() {
     http::Headers out;
     out.add("Content-Type", "application/json");
@@ -47,7 +50,7 @@
 public:
     const config::EdgeSettings* settings = nullptr;
     TokenEstimate* tokens = nullptr;
-    std::size_t cls = 0;
+    std::size_t class_index = 0;
     std::string name;
     std::string client_name;
     std::string idempotency_key;
@@ -56,11 +59,11 @@
     std::unique_ptr<chat::Collector> collector;  // where the client wants one object
     engine::Usage usage;
 
-    [[nodiscard]] ServerRequest read(std::int64_t attempt, Duration) const override {
+    [[nodiscard]] ServerRequest prefill_request(std::int64_t attempt, Duration) const override {
         return {"POST", std::string(engine::kChatPath), headers(attempt), engine::prefill_body(body, chat)};
     }
-    [[nodiscard]] ServerRequest write(std::int64_t attempt, const std::string& state,
-                                      Duration) const override {
+    [[nodiscard]] ServerRequest decode_request(std::int64_t attempt, const std::string& state,
+                                               Duration) const override {
         return {"POST", std::string(engine::kChatPath), headers(attempt),
                 engine::decode_body(body, chat, state)};
     }
@@ -80,7 +83,7 @@
                    ? engine::prompt_text(value, {c.prompt_begin, c.prompt_message})
                    : engine::prompt_text(value);
     }
-    void set_prompt_tokens(double count) override { tokens->correct(cls, chat.prompt_bytes, count); }
+    void set_prompt_tokens(double count) override { tokens->correct(class_index, chat.prompt_bytes, count); }
     [[nodiscard]] double reported_prompt_tokens() const override { return usage.prompt_tokens; }
     [[nodiscard]] double completion_tokens() const override { return usage.completion_tokens; }
 
@@ -102,7 +105,7 @@
                                                           const std::string& message) const override {
         return chat::format_event(chat::format_error({status, message, "server_error", "", "failed"}));
     }
-    [[nodiscard]] Answer refusal(Duration retry_after) const override {
+    [[nodiscard]] Answer rejection(Duration retry_after) const override {
         http::Headers headers;
         const auto ms = std::max<std::int64_t>(
             1, std::chrono::duration_cast<std::chrono::milliseconds>(retry_after).count());
@@ -121,7 +124,8 @@
         if (!retryable) headers.add("X-Should-Retry", "false");
         return error_answer({status, message, "server_error", "", "failed"}, std::move(headers));
     }
-    [[nodiscard]] Answer verdict(int status, const ResponseHead& head, std::string answer) const override {
+    [[nodiscard]] Answer server_rejection(int status, const ResponseHead& head,
+                                          std::string answer) const override {
         http::Headers headers;
         headers.add("Content-Type", head.content_type.empty() ? "application/json" : head.content_type);
         headers.add(std::string(engine::kRequestIdHeader), name);
@@ -158,15 +162,15 @@
                     done_ = true;
                     out.state = State::whole;
                     return out;
-                case engine::ChunkKind::error: return spoilt(std::move(out), "error event");
-                case engine::ChunkKind::broken: return spoilt(std::move(out), "not a chunk");
+                case engine::ChunkKind::error: return malformed(std::move(out), "error event");
+                case engine::ChunkKind::broken: return malformed(std::move(out), "not a chunk");
                 case engine::ChunkKind::chunk:
                 case engine::ChunkKind::usage_only: break;
             }
             out.events += 1;
             if (request_.collector != nullptr) {
                 if (!request_.collector->add(data))
-                    return spoilt(std::move(out), "answer too large, or not a chunk");
+                    return malformed(std::move(out), "answer too large, or not a chunk");
                 continue;
             }
             // The engine's count is asked for always, to correct our own; the client sees it only if it asked
@@ -174,14 +178,14 @@
             if (chunk.kind == engine::ChunkKind::usage_only && !request_.chat.include_usage) continue;
             out.to_client += chat::format_event(data);
         }
-        if (reader_.overflowed()) return spoilt(std::move(out), "event too large");
+        if (reader_.overflowed()) return malformed(std::move(out), "event too large");
         return out;
     }
     [[nodiscard]] bool whole() const override { return done_; }
 
 private:
-    static Progress spoilt(Progress out, const char* detail) {
-        out.state = State::spoilt;
+    static Progress malformed(Progress out, const char* detail) {
+        out.state = State::malformed;
         out.detail = detail;
         return out;
     }
@@ -231,12 +235,12 @@
 }
 
 Rejection VllmProtocol::reject(const http::Request& request, std::uint64_t number,
-                               RejectionReason why) const {
+                               RejectionReason reason) const {
     const auto name = name_of(number);
     auto headers = named(name);
     headers.add("Retry-After", "1");
     headers.add("X-Should-Retry", "true");
-    const bool draining = why == RejectionReason::draining;
+    const bool draining = reason == RejectionReason::draining;
     if (draining) headers.add("Connection", "close");
     return {error_answer({503, draining ? "this gateway is going away" : "too many open requests",
                           "server_error", "", "refused"},
@@ -251,73 +255,97 @@
     const auto reject = [&](const chat::ApiError& error) {
         return tl::unexpected(Rejection{error_answer(error, named(out.name)), out.name, out.client_name});
     };
-    std::string_view key = request.headers.get("authorization");
-    if (key.size() > 7 && http::same_name(key.substr(0, 7), "bearer ")) key.remove_prefix(7);
-    for (const auto& t : settings_.tenants)
-        if (std::find(t.keys.begin(), t.keys.end(), key) != t.keys.end()) out.tenant = t.name;
+    out.tenant = tenant_of(request);
     if (settings_.require_key && out.tenant.empty())
         return reject({401, "unknown or missing API key", "authentication_error", "", "invalid_api_key"});
-
     auto chat = chat::parse_request(request.body);
     if (!chat) return reject(chat.error());
-    const auto& models = settings_.models;
-    if (!models.empty() && std::find(models.begin(), models.end(), chat->model) == models.end())
-        return reject({404, "the model '" + chat->model + "' does not exist", "invalid_request_error",
-                       "model", "model_not_found"});
-
-    const auto cls = std::find_if(settings_.classes.begin(), settings_.classes.end(), [&](const auto& c) {
-        return c.rules.empty() || std::any_of(c.rules.begin(), c.rules.end(), [&](const auto& r) {
-                   return matches(r, request, chat->model);
-               });
-    });
-    if (cls == settings_.classes.end())
-        return reject({404, "no class of request fits this model, path and headers", "invalid_request_error",
-                       "model", "no_class"});
-    out.cls = static_cast<std::size_t>(cls - settings_.classes.begin());
-    const RequestClassSettings& c = settings_.module.classes[out.cls];
-
+    const auto class_index = class_of(request, chat->model);
+    if (!class_index) return reject(class_index.error());
+    out.class_index = *class_index;
     std::string idempotency_key{request.headers.get(kIdempotencyHeader)};
-    if (c.idempotency == Idempotency::idempotent_by_key && idempotency_key.empty())
-        return reject({400, "requests of class '" + c.name + "' need the header Idempotency-Key",
+    const RequestClassSettings& settings = settings_.module.classes[out.class_index];
+    if (settings.idempotency == Idempotency::idempotent_by_key && idempotency_key.empty())
+        return reject({400, "requests of class '" + settings.name + "' need the header Idempotency-Key",
                        "invalid_request_error", "Idempotency-Key", "missing_key"});
-
-    out.deadline = c.deadline;
-    if (const auto told = request.headers.get(kTimeoutHeader); cls->deadline_header && !told.empty()) {
-        std::int64_t ms = 0;
-        const auto [end, why] = std::from_chars(told.data(), told.data() + told.size(), ms);
-        if (why != std::errc{} || end != told.data() + told.size() || ms < 1)
-            return reject({400, "X-Request-Timeout-Ms must be a whole number of at least 1",
-                           "invalid_request_error", "X-Request-Timeout-Ms", ""});
-        out.deadline = std::min(out.deadline,
-                                Duration(std::chrono::milliseconds(std::min<std::int64_t>(ms, 86'400'000))));
-    }
+    const auto deadline = deadline_of(request, out.class_index);
+    if (!deadline) return reject(deadline.error());
+    out.deadline = *deadline;
 
     out.session = request.headers.get(settings_.session_header);
     if (out.session.empty()) out.session = chat->session;
-    // SessionCache of two tenants never are the same one.
+    // Sessions of two tenants are never the same one.
     out.session = out.session.empty() ? out.name : out.tenant + "/" + out.session;
     const auto retries = request.headers.get(kRetryHeader);
     out.retry = !retries.empty() && retries != "0";
     out.prefix = chat->prefix;
-    out.prompt_tokens = std::ceil(tokens_.tokens(out.cls, chat->prompt_bytes));
-    out.shared_tokens = std::floor(tokens_.tokens(out.cls, chat->prefix_bytes));
+    out.prompt_tokens = std::ceil(tokens_.tokens(out.class_index, chat->prompt_bytes));
+    out.shared_tokens = std::floor(tokens_.tokens(out.class_index, chat->prefix_bytes));
     out.max_output = chat->max_output;
-
-    auto exchange = std::make_unique<Request>();
-    exchange->settings = &settings_;
-    exchange->tokens = &tokens_;
-    exchange->cls = out.cls;
-    exchange->name = out.name;
-    exchange->client_name = out.client_name;
-    exchange->idempotency_key = std::move(idempotency_key);
-    exchange->chat = std::move(*chat);
-    exchange->body = std::move(request.body);
-    if (!exchange->chat.stream)
-        exchange->collector = std::make_unique<chat::Collector>(settings_.limits.answer_bytes);
-    out.protocol_session = std::move(exchange);
+    out.protocol_session =
+        start_session(out, std::move(idempotency_key), std::move(*chat), std::move(request.body));
     return out;
 }
 
+std::string VllmProtocol::tenant_of(const http::Request& request) const {
+    constexpr std::string_view kScheme = "bearer ";
+    std::string_view key = request.headers.get("authorization");
+    if (key.size() > kScheme.size() && http::same_name(key.substr(0, kScheme.size()), kScheme))
+        key.remove_prefix(kScheme.size());
+    std::string tenant;
+    for (const auto& known : settings_.tenants)
+        if (std::find(known.keys.begin(), known.keys.end(), key) != known.keys.end()) tenant = known.name;
+    return tenant;
+}
+
+tl::expected<std::size_t, chat::ApiError> VllmProtocol::class_of(const http::Request& request,
+                                                                 const std::string& model) const {
+    const auto& models = settings_.models;
+    if (!models.empty() && std::find(models.begin(), models.end(), model) == models.end())
+        return tl::unexpected(chat::ApiError{404, "the model '" + model + "' does not exist",
+                                             "invalid_request_error", "model", "model_not_found"});
+    const auto& classes = settings_.classes;
+    const auto found = std::find_if(classes.begin(), classes.end(), [&](const auto& candidate) {
+        const auto& rules = candidate.rules;
+        return rules.empty() || std::any_of(rules.begin(), rules.end(),
+                                            [&](const auto& rule) { return matches(rule, request, model); });
+    });
+    if (found == classes.end())
+        return tl::unexpected(chat::ApiError{404, "no class of request fits this model, path and headers",
+                                             "invalid_request_error", "model", "no_class"});
+    return static_cast<std::size_t>(found - classes.begin());
+}
+
+tl::expected<Duration, chat::ApiError> VllmProtocol::deadline_of(const http::Request& request,
+                                                                 std::size_t class_index) const {
+    const Duration deadline = settings_.module.classes[class_index].deadline;
+    const auto text = request.headers.get(kTimeoutHeader);
+    if (!settings_.classes[class_index].deadline_header || text.empty()) return deadline;
+    std::int64_t wanted_ms = 0;
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), wanted_ms);
+    if (error != std::errc{} || end != text.data() + text.size() || wanted_ms < 1)
+        return tl::unexpected(chat::ApiError{400, "X-Request-Timeout-Ms must be a whole number of at least 1",
+                                             "invalid_request_error", "X-Request-Timeout-Ms", ""});
+    return std::min(deadline, Duration(std::chrono::milliseconds(std::min(wanted_ms, kMaxTimeoutMs))));
+}
+
+std::unique_ptr<ProtocolSession> VllmProtocol::start_session(const ParsedRequest& parsed,
+                                                             std::string idempotency_key, chat::Request chat,
+                                                             std::string body) {
+    auto session = std::make_unique<Request>();
+    session->settings = &settings_;
+    session->tokens = &tokens_;
+    session->class_index = parsed.class_index;
+    session->name = parsed.name;
+    session->client_name = parsed.client_name;
+    session->idempotency_key = std::move(idempotency_key);
+    session->chat = std::move(chat);
+    session->body = std::move(body);
+    if (!session->chat.stream)
+        session->collector = std::make_unique<chat::Collector>(settings_.limits.answer_bytes);
+    return session;
+}
+
 // ================= servers =================
 
 ResponseHead VllmProtocol::read_head(int, const http::Headers& headers) const {
@@ -325,7 +353,7 @@
     out.not_run = engine::parse_not_run(headers.get(engine::kNotRunHeader));
     out.content_type = headers.get("content-type");
     if (settings_.load == config::LoadSource::headers)
-        out.report = engine::parse_load_header(headers.get(engine::kLoadHeader)).report();
+        out.load_report = engine::parse_load_header(headers.get(engine::kLoadHeader)).report();
     return out;
 }
 
@@ -353,14 +381,16 @@
     return ServerRequest{"POST", std::string(engine::kReleasePath), std::move(headers),
                          engine::release_body(name, state)};
 }
-bool VllmProtocol::no_release(int status) const { return status == 404 || status == 405 || status == 501; }
+bool VllmProtocol::lacks_release_call(int status) const {
+    return status == 404 || status == 405 || status == 501;
+}
 
-ServerRequest VllmProtocol::probe() const {
+ServerRequest VllmProtocol::health_check_request() const {
     return {"GET", settings_.load == config::LoadSource::metrics ? "/metrics" : "/health", {}, ""};
 }
-std::vector<double> VllmProtocol::probe_report(const ResponseHead& head, std::string_view body) const {
+std::vector<double> VllmProtocol::health_check_load(const ResponseHead& head, std::string_view body) const {
     return settings_.load == config::LoadSource::metrics ? engine::parse_metrics_page(body).report()
-                                                         : head.report;
+                                                         : head.load_report;
 }
 
 }  // namespace chalksail::core
--- a/src/core/vllm_protocol.hpp
+++ b/src/core/vllm_protocol.hpp
@@ -1,7 +1,8 @@
 // vLLM's disaggregated prefill behind an OpenAI-style front: the codecs of src/chat and src/engine put
-// together.
+// together. See protocol.hpp for ownership, threads and errors.
 #pragma once
 
+#include "chat/request.hpp"
 #include "core/protocol.hpp"
 #include "core/token_estimate.hpp"
 
@@ -17,7 +18,7 @@
 
     [[nodiscard]] std::optional<Answer> answer(const http::Request& request, bool draining) const override;
     [[nodiscard]] Rejection reject(const http::Request& request, std::uint64_t number,
-                                   RejectionReason why) const override;
+                                   RejectionReason reason) const override;
     [[nodiscard]] tl::expected<ParsedRequest, Rejection> parse(http::Request& request,
                                                                std::uint64_t number) override;
     [[nodiscard]] ResponseHead read_head(int status, const http::Headers& headers) const override;
@@ -28,19 +29,32 @@
     [[nodiscard]] std::optional<ServerRequest> release(const std::string& name, std::int64_t attempt,
                                                        const std::string& state,
                                                        const std::string& kind) const override;
-    [[nodiscard]] bool no_release(int status) const override;
-    // Engines of this convention hold no places ahead.
-    [[nodiscard]] std::optional<ServerRequest> lease(const std::string&) const override {
+    [[nodiscard]] bool lacks_release_call(int status) const override;
+    // These engines reserve no capacity ahead.
+    [[nodiscard]] std::optional<ServerRequest> reservation_request(const std::string&) const override {
         return std::nullopt;
     }
-    [[nodiscard]] Lease lease_answer(int) const override { return Lease::not_held; }
-    [[nodiscard]] ServerRequest probe() const override;
-    [[nodiscard]] std::vector<double> probe_report(const ResponseHead& head,
-                                                   std::string_view body) const override;
+    [[nodiscard]] Reservation reservation_state(int) const override { return Reservation::not_held; }
+    [[nodiscard]] ServerRequest health_check_request() const override;
+    [[nodiscard]] std::vector<double> health_check_load(const ResponseHead& head,
+                                                        std::string_view body) const override;
 
 private:
     class Request;
+    // A name of its own for each request, also after a restart.
     [[nodiscard]] std::string name_of(std::uint64_t number) const;
+    // By the API key; empty: of none.
+    [[nodiscard]] std::string tenant_of(const http::Request& request) const;
+    // The index of the first class with a rule that matches; an error if there is none or the model is
+    // unknown.
+    [[nodiscard]] tl::expected<std::size_t, chat::ApiError> class_of(const http::Request& request,
+                                                                     const std::string& model) const;
+    // The class's, or a shorter one that the client asks for.
+    [[nodiscard]] tl::expected<Duration, chat::ApiError> deadline_of(const http::Request& request,
+                                                                     std::size_t class_index) const;
+    [[nodiscard]] std::unique_ptr<ProtocolSession> start_session(const ParsedRequest& parsed,
+                                                                 std::string idempotency_key,
+                                                                 chat::Request chat, std::string body);
 
     config::EdgeSettings settings_;
     TokenEstimate tokens_;
--- a/src/net/edge_server.cpp
+++ b/src/net/edge_server.cpp
@@ -490,7 +490,7 @@
 void EdgeServer::take_step(core::Shutdown::Step step) {
     switch (step) {
         case core::Shutdown::Step::wait: return;
-        case core::Shutdown::Step::stop_taking:
+        case core::Shutdown::Step::stop_accepting:
             clients_->stop_listening();
             clients_->drain();
             return add(core::DrainStarted{});
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -78,7 +78,7 @@
 
 // Calls that each server gets again and again.
 bool is_periodic(ServerAction action) {
-    return action == ServerAction::probe || action == ServerAction::release;
+    return action == ServerAction::health_check || action == ServerAction::release;
 }
 
 spdlog::level::level_enum level_of(const Record& record) {
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -103,7 +103,8 @@
 
 void Metrics::count(const ServerRecord& record) {
     // Only these have few results: others carry addresses and errors, one time series for each.
-    const bool has_result = record.action == ServerAction::probe || record.action == ServerAction::release;
+    const bool has_result =
+        record.action == ServerAction::health_check || record.action == ServerAction::release;
     auto& counter = families_->servers.Add({{"server", record.server},
                                             {"what", std::string(name(record.action))},
                                             {"result", has_result ? record.detail : ""}});
--- a/src/observe/record.cpp
+++ b/src/observe/record.cpp
@@ -40,7 +40,7 @@
         case ServerAction::draining: return "draining";
         case ServerAction::removed: return "removed";
         case ServerAction::restarted: return "restarted";
-        case ServerAction::probe: return "probe";
+        case ServerAction::health_check: return "probe";
         case ServerAction::release: return "release";
         case ServerAction::verified: return "verified";
         case ServerAction::not_verified: return "not_verified";
@@ -55,10 +55,10 @@
         case ReleaseReason::none: return "";
         case ReleaseReason::decided: return "decided";
         case ReleaseReason::request_over: return "request_over";
-        case ReleaseReason::read_may_have_ended: return "read_may_have_ended";
-        case ReleaseReason::place_may_be_held: return "place_may_be_held";
+        case ReleaseReason::prefill_may_have_ended: return "read_may_have_ended";
+        case ReleaseReason::reservation_may_be_held: return "place_may_be_held";
         case ReleaseReason::not_fetched: return "not_fetched";
-        case ReleaseReason::write_unanswered: return "write_unanswered";
+        case ReleaseReason::decode_unanswered: return "write_unanswered";
     }
     return "unknown";
 }
--- a/src/observe/record.hpp
+++ b/src/observe/record.hpp
@@ -90,7 +90,7 @@
     draining,
     removed,
     restarted,       // its start time in the list changed
-    probe,           // a health check ended; detail: its outcome
+    health_check,    // a health check ended; detail: its outcome
     release,         // a release call ended; detail: ok, failed, none (the engine has no such call)
     verified,        // it proved its name again
     not_verified,    // it did not prove its name; detail: the error
@@ -99,7 +99,8 @@
 };
 [[nodiscard]] std::string_view name(ServerAction action);
 
-// Log line, level info, for probe and release debug: {"event":"server","server","action","detail"}.
+// Log line, level info, for health checks ("probe") and releases debug:
+// {"event":"server","server","action","detail"}.
 struct ServerRecord {
     std::string server;
     ServerAction action = ServerAction::up;
@@ -109,12 +110,12 @@
 // What led to a release call.
 enum class ReleaseReason {
     none,
-    decided,              // by the router
-    request_over,         // its request has its final answer, or its client is gone
-    read_may_have_ended,  // a prefill was cancelled or broke, and may have left a state
-    place_may_be_held,    // a decode server was asked for a reservation, and none is wanted
-    not_fetched,          // a decode server could not fetch the state
-    write_unanswered,  // a decode server was silent in the state's time: its attempt may never have arrived
+    decided,                  // by the router
+    request_over,             // its request has its final answer, or its client is gone
+    prefill_may_have_ended,   // a prefill was cancelled or broke, and may have left a state
+    reservation_may_be_held,  // a decode server was asked for a reservation, and none is wanted
+    not_fetched,              // a decode server could not fetch the state
+    decode_unanswered,  // a decode server was silent in the state's time: its attempt may never have arrived
 };
 [[nodiscard]] std::string_view name(ReleaseReason reason);
 
--- a/tests/core/platform_edge_test.cpp
+++ b/tests/core/platform_edge_test.cpp
@@ -736,7 +736,7 @@
     const auto out =
         calls_of(edge.step(now, {ClientRequest{{1}, std::get<http::Request>(reader.feed(rest))}}));
     ASSERT_EQ(out.size(), 2U);
-    EXPECT_EQ(out[1].kind, CallKind::lease);
+    EXPECT_EQ(out[1].kind, CallKind::reservation);
     EXPECT_EQ(out[1].method, "POST");
     EXPECT_EQ(out[1].target, "/kv/leases/9b1f");
     router.next = {Fail{{1}}};
--- a/tests/core/shutdown_test.cpp
+++ b/tests/core/shutdown_test.cpp
@@ -23,7 +23,7 @@
     Shutdown shutdown(kNow, limits(300ms, config::kNoLimit));
     EXPECT_EQ(shutdown.next(kNow + 299ms), Step::wait);
     EXPECT_FALSE(shutdown.over(kNow + 299ms, kNothing));  // requests are still taken
-    EXPECT_EQ(shutdown.next(kNow + 300ms), Step::stop_taking);
+    EXPECT_EQ(shutdown.next(kNow + 300ms), Step::stop_accepting);
     EXPECT_EQ(shutdown.next(kNow + 300ms), Step::wait);  // once
     const Time late = kNow + 24h;
     EXPECT_EQ(shutdown.next(late), Step::wait);
@@ -36,7 +36,7 @@
 
 TEST(Shutdown, AnswersAllAtItsLimitBeforeItEndsConnections) {
     Shutdown shutdown(kNow, limits(0ms, 5s));
-    EXPECT_EQ(shutdown.next(kNow), Step::stop_taking);
+    EXPECT_EQ(shutdown.next(kNow), Step::stop_accepting);
     EXPECT_EQ(shutdown.next(kNow + 4999ms), Step::wait);
     EXPECT_FALSE(shutdown.over(kNow + 4999ms, {.requests = 1, .connections = 1}));
     EXPECT_EQ(shutdown.next(kNow + 5s), Step::answer_all);
--- a/tests/core/verification_test.cpp
+++ b/tests/core/verification_test.cpp
@@ -87,7 +87,7 @@
     for (int i = 0; i < 100; ++i) {
         d.pass(100ms);
         for (const auto& c : std::vector<Call>(d.calls))
-            if (c.kind == CallKind::probe)
+            if (c.kind == CallKind::health_check)
                 d.give({CallSent{c.call}, CallHead{c.call, 200, {}}, CallDone{c.call}});
     }
     for (int i = 0; i < 20; ++i) {
