--- a/tests/core/driver.hpp
+++ b/tests/core/driver.hpp
@@ -40,7 +40,7 @@
     return s;
 }
 
-inline constexpr const char* kReadAnswer =
+inline constexpr const char* kPrefillAnswer =
     R"({"id":"x","usage":{"prompt_tokens":40,"completion_tokens":1},"kv_transfer_params":{"remote_engine_id":"r","remote_block_ids":[1,2]}})";
 inline std::string chunk(const std::string& text) {
     return chat::format_event(
@@ -64,14 +64,15 @@
             else if (auto* bytes = std::get_if<StreamBytes>(&o)) streamed += bytes->bytes;
             else if (std::get_if<StreamBegin>(&o) != nullptr) streams_begun += 1;
             else if (std::get_if<StreamEnd>(&o) != nullptr) streams_ended += 1;
-            else if (std::get_if<AbortStream>(&o) != nullptr) streams_cut += 1;
+            else if (std::get_if<AbortStream>(&o) != nullptr) streams_aborted += 1;
             else if (auto* flow = std::get_if<SetCallPaused>(&o)) flows.push_back(*flow);
-            else if (auto* gone = std::get_if<EndpointForgotten>(&o)) forgotten.push_back(gone->server);
-            else if (auto* note = std::get_if<EmitRecord>(&o)) {
-                if (auto* r = std::get_if<observe::RequestRecord>(&note->record)) requests.push_back(*r);
-                if (auto* a = std::get_if<observe::AttemptRecord>(&note->record)) attempts.push_back(*a);
-                if (auto* g = std::get_if<observe::GuardRecord>(&note->record)) guards.push_back(*g);
-                if (auto* s = std::get_if<observe::ServerRecord>(&note->record)) servers.push_back(*s);
+            else if (auto* endpoint = std::get_if<EndpointForgotten>(&o))
+                forgotten.push_back(endpoint->server);
+            else if (auto* emitted = std::get_if<EmitRecord>(&o)) {
+                if (auto* r = std::get_if<observe::RequestRecord>(&emitted->record)) requests.push_back(*r);
+                if (auto* a = std::get_if<observe::AttemptRecord>(&emitted->record)) attempts.push_back(*a);
+                if (auto* g = std::get_if<observe::GuardRecord>(&emitted->record)) guards.push_back(*g);
+                if (auto* s = std::get_if<observe::ServerRecord>(&emitted->record)) servers.push_back(*s);
             }
         }
     }
@@ -94,8 +95,8 @@
             {listed("r1", "reader"), listed("r2", "reader"), listed("w1", "writer"), listed("w2", "writer")});
     }
 
-    void ask(const std::string& model = "m", const std::string& more = R"(,"stream":true)",
-             http::Headers headers = {}, std::uint64_t client = 1) {
+    void send_request(const std::string& model = "m", const std::string& more = R"(,"stream":true)",
+                      http::Headers headers = {}, std::uint64_t client = 1) {
         http::Request r;
         r.method = "POST";
         r.target = "/v1/chat/completions";
@@ -118,20 +119,20 @@
             if (c.kind == CallKind::release) out.push_back(c);
         return out;
     }
-    void answer_read(CallId call) {
+    void answer_prefill(CallId call) {
         now += 20ms;
-        give({CallSent{call}, CallHead{call, 200, {}}, CallBody{call, kReadAnswer}, CallDone{call}});
+        give({CallSent{call}, CallHead{call, 200, {}}, CallBody{call, kPrefillAnswer}, CallDone{call}});
     }
     void head(CallId call, int status = 200, http::Headers headers = {}) {
         give({CallSent{call}, CallHead{call, status, std::move(headers)}});
     }
     void body(CallId call, const std::string& bytes) { give({CallBody{call, bytes}}); }
     // Asks, and takes it through the read: the write is out then.
-    CallId to_write(const std::string& model = "m", const std::string& more = R"(,"stream":true)",
-                    http::Headers headers = {}) {
-        ask(model, more, std::move(headers));
+    CallId to_decode(const std::string& model = "m", const std::string& more = R"(,"stream":true)",
+                     http::Headers headers = {}) {
+        send_request(model, more, std::move(headers));
         EXPECT_EQ(sent().size(), 1U);
-        answer_read(sent().back().call);
+        answer_prefill(sent().back().call);
         EXPECT_EQ(sent().size(), 2U);
         return sent().back().call;
     }
@@ -153,7 +154,7 @@
     std::string streamed;
     int streams_begun = 0;
     int streams_ended = 0;
-    int streams_cut = 0;
+    int streams_aborted = 0;
 };
 
 // Nothing is left of anything.
--- a/tests/core/edge_test.cpp
+++ b/tests/core/edge_test.cpp
@@ -15,10 +15,10 @@
 
 // ---- the ordinary path ----
 
-TEST(Edge, ReadsAtAPrefillServerThenStreamsFromADecodeServer) {
+TEST(Edge, PrefillsThenStreamsFromADecodeServer) {
     Driver d;
     d.usual_list();
-    d.ask("m", R"(,"stream":true,"top_k": 7.50,"kv_transfer_params":{"evil":1})");
+    d.send_request("m", R"(,"stream":true,"top_k": 7.50,"kv_transfer_params":{"evil":1})");
     ASSERT_EQ(d.sent().size(), 1U);
     const Call read = d.sent()[0];
     EXPECT_EQ(read.server[0], 'r');
@@ -28,7 +28,7 @@
     EXPECT_TRUE(prefill_body["kv_transfer_params"]["do_remote_decode"].GetBool());
     EXPECT_FALSE(prefill_body["kv_transfer_params"].HasMember("evil"));
     EXPECT_NE(read.body.find(R"("top_k": 7.50)"), std::string::npos);  // unknown fields stay to the byte
-    d.answer_read(read.call);
+    d.answer_prefill(read.call);
     ASSERT_EQ(d.sent().size(), 2U);
     const Call write = d.sent()[1];
     EXPECT_EQ(write.server[0], 'w');
@@ -53,19 +53,19 @@
     expect_empty(d);
 }
 
-TEST(Edge, UsageChunkGoesToWhoeverAskedForIt) {
+TEST(Edge, UsageChunkGoesToClientsThatRequestIt) {
     Driver d;
     d.usual_list();
-    const auto write = d.to_write("m", R"(,"stream":true,"stream_options":{"include_usage":true})");
+    const auto write = d.to_decode("m", R"(,"stream":true,"stream_options":{"include_usage":true})");
     d.head(write);
     d.body(write, chunk("a") + chat::format_event(kUsage) + chat::format_event("[DONE]"));
     EXPECT_NE(d.streamed.find("completion_tokens"), std::string::npos);
 }
 
-TEST(Edge, WholeAnswerIsPutTogetherWhereNoStreamIsWanted) {
+TEST(Edge, AnswerIsCollectedWhereNoStreamIsWanted) {
     Driver d;
     d.usual_list();
-    const auto write = d.to_write("m", "");
+    const auto write = d.to_decode("m", "");
     d.head(write);
     d.body(write, chunk("yes") + chunk(" now"));
     EXPECT_TRUE(d.replies.empty());
@@ -84,7 +84,7 @@
     for (std::size_t cut = 1; cut < all.size(); cut += 7) {
         Driver d;
         d.usual_list();
-        const auto write = d.to_write();
+        const auto write = d.to_decode();
         d.head(write);
         d.body(write, all.substr(0, cut));
         d.body(write, all.substr(cut));
@@ -94,9 +94,9 @@
 
 // ---- the client goes away ----
 
-TEST(Edge, ClientGoneBeforeTheReadIsNeverSent) {
+TEST(Edge, ClientDisconnectedBeforeThePrefillIsNeverSent) {
     Driver d;  // no list: it is held
-    d.ask();
+    d.send_request();
     d.give({ClientClosed{{1}}});
     d.usual_list();
     d.pass(5s);
@@ -105,10 +105,10 @@
     expect_empty(d);
 }
 
-TEST(Edge, ClientGoneDuringTheReadCallsItOffAndLetsGoOfWhatMayBeThere) {
+TEST(Edge, ClientDisconnectedDuringThePrefillCancelsAndReleasesIt) {
     Driver d;
     d.usual_list();
-    d.ask();
+    d.send_request();
     const auto read = d.sent()[0].call;
     d.give({CallSent{read}});
     d.give({ClientClosed{{1}}});
@@ -121,14 +121,14 @@
     expect_empty(d);
 }
 
-TEST(Edge, ClientGoneWhileTheStateWaitsLetsItGoAtOnce) {
+TEST(Edge, ClientDisconnectedWhileAStateIsHeldReleasesItAtOnce) {
     Driver d;
     d.usual_list();
-    d.ask();
+    d.send_request();
     const auto read = d.sent()[0].call;
     d.list({listed("w1", "writer", EndpointState::draining), listed("w2", "writer", EndpointState::draining)},
            EndpointUpdateKind::delta);
-    d.answer_read(read);
+    d.answer_prefill(read);
     ASSERT_EQ(d.sent().size(), 1U);
     EXPECT_EQ(d.edge.gauges().kv_states_held, 1U);
     d.give({ClientClosed{{1}}});
@@ -137,10 +137,10 @@
     expect_empty(d);
 }
 
-TEST(Edge, ClientGoneMidStreamEndsTheEnginesStream) {
+TEST(Edge, ClientDisconnectedMidStreamEndsTheEnginesStream) {
     Driver d;
     d.usual_list();
-    const auto write = d.to_write();
+    const auto write = d.to_decode();
     d.head(write);
     d.body(write, chunk("yes"));
     d.give({ClientClosed{{1}}});
@@ -153,10 +153,10 @@
 
 // ---- servers fail ----
 
-TEST(Edge, WriterDyingAfterTheFirstTokenIsAnErrorEventAndNoDone) {
+TEST(Edge, DecodeServerDyingAfterTheFirstTokenIsAnErrorEventAndNoDone) {
     Driver d;
     d.usual_list();
-    const auto write = d.to_write();
+    const auto write = d.to_decode();
     d.head(write);
     d.body(write, chunk("yes"));
     d.give({CallFailed{write, engine::Ending::closed, "closed by the server"}});
@@ -169,10 +169,10 @@
     expect_empty(d);
 }
 
-TEST(Edge, ReaderDyingWithTheStateIsReadAnewElsewhere) {
+TEST(Edge, StateLostWithItsPrefillServerIsPrefilledElsewhere) {
     Driver d;
     d.usual_list();
-    const auto write = d.to_write();
+    const auto write = d.to_decode();
     const std::string reader = d.sent()[0].server;
     http::Headers headers;
     headers.add("X-Engine-Not-Run", "no-state");
@@ -185,10 +185,10 @@
     EXPECT_EQ(d.releases()[0].server, reader);
 }
 
-TEST(Edge, EmptyAnswerIsAnErrorAndGoesElsewhere) {
+TEST(Edge, EmptyAnswerIsAnErrorAndRetriedElsewhere) {
     Driver d;
     d.usual_list();
-    const auto write = d.to_write();
+    const auto write = d.to_decode();
     d.head(write);
     d.give({CallDone{write}});
     ASSERT_EQ(d.attempts.size(), 2U);
@@ -197,10 +197,10 @@
     EXPECT_TRUE(d.replies.empty());
 }
 
-TEST(Edge, ReadAnswerWithoutTheStatesParametersIsAnError) {
+TEST(Edge, PrefillAnswerWithoutTheStatesParametersIsAnError) {
     Driver d;
     d.usual_list();
-    d.ask();
+    d.send_request();
     const auto read = d.sent()[0].call;
     d.head(read);
     d.body(read, R"({"id":"x","choices":[]})");
@@ -214,24 +214,24 @@
     s.limits.event_bytes = 1000;
     Driver d(s);
     d.usual_list();
-    d.ask();
+    d.send_request();
     const auto read = d.sent()[0].call;
     d.head(read);
     d.body(read, std::string(2000, 'x'));
     EXPECT_TRUE(d.was_aborted(read));
     EXPECT_EQ(d.attempts[0].outcome, "error");
     ASSERT_EQ(d.sent().size(), 2U);
-    d.answer_read(d.sent()[1].call);
+    d.answer_prefill(d.sent()[1].call);
     const auto write = d.sent()[2].call;
     d.head(write);
     d.body(write, "data: " + std::string(2000, 'x'));
     EXPECT_TRUE(d.was_aborted(write));
 }
 
-TEST(Edge, AnswerAfterItsCancelIsPassedOver) {
+TEST(Edge, AnswerAfterItsCancellationIsIgnored) {
     Driver d;
     d.usual_list();
-    const auto write = d.to_write();
+    const auto write = d.to_decode();
     d.give({ClientClosed{{1}}});
     ASSERT_TRUE(d.was_aborted(write));
     d.head(write);
@@ -241,10 +241,10 @@
     expect_empty(d);
 }
 
-TEST(Edge, EnginesVerdictOnTheRequestGoesToTheClient) {
+TEST(Edge, EnginesClientErrorGoesToTheClient) {
     Driver d;
     d.usual_list();
-    d.ask();
+    d.send_request();
     const auto read = d.sent()[0].call;
     d.head(read, 400);
     d.body(read, R"({"error":{"message":"context too long"}})");
@@ -259,10 +259,10 @@
 
 // ---- effects ----
 
-TEST(Edge, OnceThatMayHaveRunFailsAndSaysNotToTryAgain) {
+TEST(Edge, NonIdempotentThatMayHaveRunFailsAndSaysNotToRetry) {
     Driver d;
     d.usual_list();
-    const auto write = d.to_write("once");
+    const auto write = d.to_decode("once");
     d.give({CallSent{write}, CallFailed{write, engine::Ending::closed, ""}});
     ASSERT_EQ(d.replies.size(), 1U);
     EXPECT_EQ(d.replies[0].status, 502);
@@ -272,18 +272,18 @@
     expect_empty(d);
 }
 
-TEST(Edge, OnceGoesAgainWhereNoByteWentOut) {
+TEST(Edge, NonIdempotentIsRetriedWhereNoByteWasSent) {
     Driver d;
     d.usual_list();
-    const auto write = d.to_write("once");
+    const auto write = d.to_decode("once");
     d.give({CallFailed{write, engine::Ending::dial_failed, "refused"}});
     EXPECT_EQ(d.sent().size(), 3U);
 }
 
-TEST(Edge, OnceGoesAgainAfterTheEnginesWordThatItDidNotRun) {
+TEST(Edge, NonIdempotentIsRetriedAfterTheEngineSaysItDidNotRun) {
     Driver d;
     d.usual_list();
-    const auto write = d.to_write("once");
+    const auto write = d.to_decode("once");
     http::Headers headers;
     headers.add("X-Engine-Not-Run", "full");
     d.head(write, 503, headers);
@@ -295,13 +295,13 @@
 TEST(Edge, KeyedNeedsItsKey) {
     Driver d;
     d.usual_list();
-    d.ask("keyed");
+    d.send_request("keyed");
     ASSERT_EQ(d.replies.size(), 1U);
     EXPECT_EQ(d.replies[0].status, 400);
     EXPECT_NE(d.replies[0].body.find("Idempotency-Key"), std::string::npos);
     http::Headers headers;
     headers.add("Idempotency-Key", "k1");
-    d.ask("keyed", "", headers, 2);
+    d.send_request("keyed", "", headers, 2);
     ASSERT_EQ(d.sent().size(), 1U);
     EXPECT_EQ(d.sent()[0].headers.get("idempotency-key"), "k1");
 }
@@ -311,28 +311,28 @@
 TEST(Edge, DeadlineEndsAnAttemptAndIsAnsweredInTime) {
     Driver d;
     d.usual_list();
-    const Time asked = d.now;
-    const auto write = d.to_write("once");
+    const Time arrived = d.now;
+    const auto write = d.to_decode("once");
     d.give({CallSent{write}});
-    while (d.replies.empty() && d.now < asked + 6s) d.pass(1ms);
+    while (d.replies.empty() && d.now < arrived + 6s) d.pass(1ms);
     ASSERT_EQ(d.replies.size(), 1U);
     EXPECT_EQ(d.replies[0].status, 504);
-    EXPECT_LE(d.now, asked + 4s);
+    EXPECT_LE(d.now, arrived + 4s);
     EXPECT_TRUE(d.was_aborted(write));
     d.pass(5s);
     EXPECT_EQ(d.sent().size(), 2U);
     expect_empty(d);
 }
 
-TEST(Edge, HeldRequestIsRefusedWithAdviceBeforeItsDeadline) {
+TEST(Edge, QueuedRequestIsRejectedWithRetryAfterBeforeItsDeadline) {
     Driver d;
-    const Time asked = d.now;
+    const Time arrived = d.now;
     http::Headers headers;
     headers.add("X-Request-Timeout-Ms", "500");
-    d.ask("m", "", headers);
-    while (d.replies.empty() && d.now < asked + 2s) d.pass(1ms);
+    d.send_request("m", "", headers);
+    while (d.replies.empty() && d.now < arrived + 2s) d.pass(1ms);
     ASSERT_EQ(d.replies.size(), 1U);
-    EXPECT_LE(d.now, asked + 500ms);
+    EXPECT_LE(d.now, arrived + 500ms);
     EXPECT_EQ(d.replies[0].status, 503);
     EXPECT_FALSE(d.replies[0].headers.get("retry-after").empty());
     EXPECT_EQ(d.replies[0].headers.get("x-should-retry"), "true");
@@ -344,23 +344,23 @@
 TEST(Edge, WholeAnswerKeepsItsDeadlineAfterTheFirstChunk) {
     Driver d;
     d.usual_list();
-    const Time asked = d.now;
-    const auto write = d.to_write("m", "");
+    const Time arrived = d.now;
+    const auto write = d.to_decode("m", "");
     d.head(write);
-    while (d.replies.empty() && d.now < asked + 6s) {
+    while (d.replies.empty() && d.now < arrived + 6s) {
         d.body(write, chunk("more"));
         d.pass(100ms);
     }
     ASSERT_EQ(d.replies.size(), 1U);
     EXPECT_EQ(d.replies[0].status, 504);
-    EXPECT_LE(d.now, asked + 4s + 100ms);
+    EXPECT_LE(d.now, arrived + 4s + 100ms);
     expect_empty(d);
 }
 
 TEST(Edge, ClockJumpsAreSurvived) {
     Driver d;
     d.usual_list();
-    const auto write = d.to_write();
+    const auto write = d.to_decode();
     d.head(write);
     d.body(write, chunk("a"));
     const Time then = d.now;
@@ -369,7 +369,7 @@
     d.now = then + 10ms;
     d.body(write, chunk("c"));
     EXPECT_EQ(d.streamed, chunk("a") + chunk("b") + chunk("c"));
-    d.ask("m", "", {}, 2);
+    d.send_request("m", "", {}, 2);
     d.now = then + 3600s;  // an hour ahead: all that was open is overdue, and is answered
     d.give({});
     d.pass(1s);
@@ -377,10 +377,10 @@
     expect_empty(d);
 }
 
-TEST(Edge, SilentStreamIsEnded) {
+TEST(Edge, SilentStreamIsAborted) {
     Driver d;
     d.usual_list();
-    const auto write = d.to_write();
+    const auto write = d.to_decode();
     d.head(write);
     d.body(write, chunk("a"));
     d.pass(4s);
@@ -393,10 +393,10 @@
     expect_empty(d);
 }
 
-TEST(Edge, SlowClientStopsTheReadingOfItsEngineAndIsNotCalledSilent) {
+TEST(Edge, SlowClientPausesItsEnginesStreamAndIsNotCalledSilent) {
     Driver d;
     d.usual_list();
-    const auto write = d.to_write();
+    const auto write = d.to_decode();
     d.head(write);
     d.body(write, chunk("a"));
     d.give({ClientBacklog{{1}, true}});
@@ -412,10 +412,10 @@
 
 // ---- the list ----
 
-TEST(Edge, WhatWaitsForAConnectionStaysWhenItsServerDrains) {
+TEST(Edge, QueuedAttemptIsWithheldWhenItsServerDrains) {
     Driver d;
     d.usual_list();
-    d.ask();
+    d.send_request();
     const Call read = d.sent()[0];
     d.list({listed(read.server, "reader", EndpointState::draining)}, EndpointUpdateKind::delta);
     EXPECT_TRUE(d.was_aborted(read.call));
@@ -424,24 +424,24 @@
     EXPECT_EQ(d.attempts[0].outcome, "connect_failed");  // proved not to have run
 }
 
-TEST(Edge, WhatWasSentGoesOnWhenItsServerDrains) {
+TEST(Edge, SentAttemptGoesOnWhenItsServerDrains) {
     Driver d;
     d.usual_list();
-    d.ask();
+    d.send_request();
     const Call read = d.sent()[0];
     d.give({CallSent{read.call}});
     d.list({listed(read.server, "reader", EndpointState::draining)}, EndpointUpdateKind::delta);
     EXPECT_FALSE(d.was_aborted(read.call));
-    d.answer_read(read.call);
+    d.answer_prefill(read.call);
     EXPECT_EQ(d.sent().size(), 2U);
 }
 
 // Guards against a list and the word that bytes went out coming in one turn, in that order: the attempt may
 // have run.
-TEST(Edge, WhatWentOutInTheSameTurnAsTheListMayHaveRun) {
+TEST(Edge, AttemptSentInTheSameTurnAsTheListMayHaveRun) {
     Driver d;
     d.usual_list();
-    const auto write = d.to_write("once");
+    const auto write = d.to_decode("once");
     const std::string server = d.sent().back().server;
     d.give({membership::EndpointList{EndpointUpdateKind::delta,
                                      {listed(server, "writer", EndpointState::draining)}},
@@ -453,10 +453,10 @@
     EXPECT_EQ(d.replies.at(0).status, 502);
 }
 
-TEST(Edge, WhatWaitsForAConnectionStaysWhenItsServerHasStartedAnew) {
+TEST(Edge, QueuedAttemptIsWithheldWhenItsServerRestarts) {
     Driver d;
     d.usual_list();
-    d.ask();
+    d.send_request();
     const Call read = d.sent()[0];
     auto again = listed(read.server, "reader");
     again.endpoint.started_at = d.now;
@@ -466,32 +466,32 @@
 
 // ---- this machine's own trouble ----
 
-TEST(Edge, NoFileDescriptorsIsRefusedAndNoServersFault) {
+TEST(Edge, NoFileDescriptorsIsRejectedAndNoServersFault) {
     Driver d;
     d.usual_list();
-    d.ask("once");
+    d.send_request("once");
     d.give({CallFailed{d.sent()[0].call, engine::Ending::no_resources, "EMFILE"}});
     ASSERT_EQ(d.replies.size(), 1U);
     EXPECT_EQ(d.replies[0].status, 503);
     EXPECT_EQ(d.attempts[0].outcome, "moot");
-    d.ask("m", "", {}, 2);  // the server is in good standing
+    d.send_request("m", "", {}, 2);  // the server is in good standing
     EXPECT_EQ(d.sent().size(), 2U);
 }
 
-TEST(Edge, OverTheLimitOfOpenRequestsIsRefusedAtOnce) {
+TEST(Edge, OverTheLimitOfOpenRequestsIsRejectedAtOnce) {
     Driver d;
-    for (std::uint64_t i = 1; i <= 51; ++i) d.ask("m", "", {}, i);
+    for (std::uint64_t i = 1; i <= 51; ++i) d.send_request("m", "", {}, i);
     ASSERT_EQ(d.replies.size(), 1U);
     EXPECT_EQ(d.replies[0].status, 503);
     EXPECT_EQ(d.edge.gauges().open_requests, 50U);
 }
 
-TEST(Edge, DrainingRefusesNewAndFinishesOld) {
+TEST(Edge, DrainingRejectsNewAndCompletesOld) {
     Driver d;
     d.usual_list();
-    const auto write = d.to_write();
+    const auto write = d.to_decode();
     d.give({DrainStarted{}});
-    d.ask("m", "", {}, 2);
+    d.send_request("m", "", {}, 2);
     ASSERT_EQ(d.replies.size(), 1U);
     EXPECT_EQ(d.replies[0].status, 503);
     EXPECT_EQ(d.replies[0].headers.get("connection"), "close");
@@ -501,10 +501,10 @@
 }
 
 // An engine without the let-go call is asked once, counted and noted.
-TEST(Edge, EngineWithoutLetGoIsNoted) {
+TEST(Edge, EngineWithoutReleaseCallIsRecorded) {
     Driver d;
     d.usual_list();
-    d.ask();
+    d.send_request();
     d.give({CallSent{d.sent()[0].call}, ClientClosed{{1}}});
     ASSERT_EQ(d.releases().size(), 1U);
     const auto call = d.releases()[0].call;
--- a/tests/core/last_activity_test.cpp
+++ b/tests/core/last_activity_test.cpp
@@ -26,7 +26,7 @@
 }
 
 // To the millisecond: a release goes to the server whose answer has just come.
-TEST(LastActivity, EachWordCounts) {
+TEST(LastActivity, EachActivityCounts) {
     LastActivity activity;
     activity.record("a", kNow);
     activity.record("b", kNow + 1ms);
--- a/tests/core/shutdown_test.cpp
+++ b/tests/core/shutdown_test.cpp
@@ -19,7 +19,7 @@
     return out;
 }
 
-TEST(Shutdown, EndsOnceNothingIsLeftAndNotBefore) {
+TEST(Shutdown, ExitsOnceNothingIsOutstandingAndNotBefore) {
     Shutdown shutdown(kNow, limits(300ms, config::kNoLimit));
     EXPECT_EQ(shutdown.next(kNow + 299ms), Step::wait);
     EXPECT_FALSE(shutdown.over(kNow + 299ms, kNothing));  // requests are still taken
@@ -34,7 +34,7 @@
     EXPECT_TRUE(shutdown.over(late, kNothing));
 }
 
-TEST(Shutdown, AnswersAllAtItsLimitBeforeItEndsConnections) {
+TEST(Shutdown, AnswersAllAtItsLimitBeforeItClosesConnections) {
     Shutdown shutdown(kNow, limits(0ms, 5s));
     EXPECT_EQ(shutdown.next(kNow), Step::stop_accepting);
     EXPECT_EQ(shutdown.next(kNow + 4999ms), Step::wait);
--- a/tests/core/verification_test.cpp
+++ b/tests/core/verification_test.cpp
@@ -25,7 +25,7 @@
     return s;
 }
 
-TEST(Verification, PausesGrowToTheirLongest) {
+TEST(Verification, BackoffGrowsToItsMaximum) {
     membership::Verification v({1s, 4s, 2});
     Time now{100s};
     EXPECT_TRUE(v.failed("w", now));
@@ -47,10 +47,10 @@
     EXPECT_EQ(v.next(), std::nullopt);
 }
 
-TEST(Verification, ServerThatFailsItGetsNothingUntilItProvesItsName) {
+TEST(Verification, UnverifiedServerGetsNothingUntilItProvesItsName) {
     Driver d(pauses());
     d.usual_list();
-    const CallId write = d.to_write("once");
+    const CallId write = d.to_decode("once");
     const std::string bad = d.sent().back().server;
     mark_unverified(d, write);
     // Proved not to have run: even what must not run twice goes to the other writer at once.
@@ -61,8 +61,8 @@
     d.body(d.sent().back().call, chunk("yes") + chat::format_event("[DONE]"));
     EXPECT_EQ(d.edge.gauges().unverified_servers, 1U);
     for (int i = 0; i < 20; ++i) {
-        d.ask("m", R"(,"stream":true)", {}, 10 + static_cast<std::uint64_t>(i));
-        d.answer_read(d.sent().back().call);
+        d.send_request("m", R"(,"stream":true)", {}, 10 + static_cast<std::uint64_t>(i));
+        d.answer_prefill(d.sent().back().call);
         EXPECT_NE(d.sent().back().server, bad);
         d.head(d.sent().back().call);
         d.body(d.sent().back().call, chunk("yes") + chat::format_event("[DONE]"));
@@ -91,8 +91,8 @@
                 d.give({CallSent{c.call}, CallHead{c.call, 200, {}}, CallDone{c.call}});
     }
     for (int i = 0; i < 20; ++i) {
-        d.ask("m", R"(,"stream":true)", {}, 50 + static_cast<std::uint64_t>(i));
-        d.answer_read(d.sent().back().call);
+        d.send_request("m", R"(,"stream":true)", {}, 50 + static_cast<std::uint64_t>(i));
+        d.answer_prefill(d.sent().back().call);
         back = back || d.sent().back().server == bad;
         d.head(d.sent().back().call);
         d.body(d.sent().back().call, chunk("yes") + chat::format_event("[DONE]"));
@@ -101,10 +101,10 @@
     expect_empty(d);
 }
 
-TEST(Verification, ChangedTrustAsksAllAtOnce) {
+TEST(Verification, ChangedTrustVerifiesAllAtOnce) {
     Driver d(pauses());
     d.usual_list();
-    mark_unverified(d, d.to_write());
+    mark_unverified(d, d.to_decode());
     mark_unverified(d, d.sent().back().call);
     d.pass(1s);
     for (const auto& t : trials(d)) mark_unverified(d, t.call);
@@ -114,10 +114,10 @@
     EXPECT_EQ(trials(d).size(), before + 2);
 }
 
-TEST(Verification, NoServerLeftIsRefusedInTimeWithAdvice) {
+TEST(Verification, NoServerLeftIsRejectedInTimeWithRetryAfter) {
     Driver d(pauses());
     d.list({listed("r1", "reader"), listed("w1", "writer")});
-    mark_unverified(d, d.to_write("once"));
+    mark_unverified(d, d.to_decode("once"));
     d.pass(4s);
     ASSERT_EQ(d.replies.size(), 1U);
     EXPECT_EQ(d.replies[0].status, 503);
@@ -125,13 +125,13 @@
     EXPECT_EQ(d.sent().size(), 2U);
 }
 
-TEST(Verification, WhatWaitsForThatServerIsTakenBack) {
+TEST(Verification, QueuedAttemptsToThatServerAreWithheld) {
     Driver d(pauses());
     d.list({listed("r1", "reader"), listed("w1", "writer"), listed("w2", "writer")});
     std::map<std::string, std::vector<CallId>> waiting;  // writes that have no connection yet
     for (std::uint64_t i = 1; i <= 6; ++i) {
-        d.ask("m", R"(,"stream":true)", {}, i);
-        d.answer_read(d.sent().back().call);
+        d.send_request("m", R"(,"stream":true)", {}, i);
+        d.answer_prefill(d.sent().back().call);
         waiting[d.sent().back().server].push_back(d.sent().back().call);
     }
     auto& most = waiting["w1"].size() > waiting["w2"].size() ? waiting["w1"] : waiting["w2"];
@@ -143,7 +143,7 @@
 TEST(Verification, RemovedServerIsForgotten) {
     Driver d(pauses());
     d.usual_list();
-    mark_unverified(d, d.to_write());
+    mark_unverified(d, d.to_decode());
     const std::string bad = d.servers.back().server;
     d.list({listed(bad, "writer", EndpointState::removed)}, EndpointUpdateKind::delta);
     EXPECT_EQ(d.edge.gauges().unverified_servers, 0U);
