--- a/src/config/kdl/strings.cpp
+++ b/src/config/kdl/strings.cpp
@@ -151,7 +151,7 @@
 }
 
 // ".5" and "-.5", which KDL does not allow as identifiers.
-bool looks_like_number(const std::string& identifier) {
+bool resembles_number(const std::string& identifier) {
     const std::size_t sign = identifier[0] == '+' || identifier[0] == '-' ? 1 : 0;
     return identifier.size() > sign + 1 && identifier[sign] == '.' &&
            is_digit(static_cast<unsigned char>(identifier[sign + 1]));
@@ -161,7 +161,7 @@
     const Place begin = cursor.place();
     std::string identifier = cursor.take_identifier();
     if (identifier.empty()) fail(begin, std::string(wanted) + " wanted");
-    if (looks_like_number(identifier))
+    if (resembles_number(identifier))
         fail(begin, "'" + identifier + "' looks like a number: put it in quotes");
     for (const char* keyword : {"true", "false", "null", "inf", "-inf", "nan"})
         if (identifier == keyword) fail(begin, "'" + identifier + "' needs a '#' before it, or quotes");
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -228,7 +228,7 @@
                           "unknown setting '" + n.name + "' in " + where_ + did_you_mean(n.name, known_));
 }
 
-Properties::Properties(const kdl::Node& node, std::set<std::string> known, std::size_t arguments,
+Properties::Properties(const kdl::Node& node, const std::set<std::string>& known, std::size_t arguments,
                        Problems& problems)
     : node_(node), problems_(problems) {
     for (const auto& p : node.properties)
--- a/src/config/schema.hpp
+++ b/src/config/schema.hpp
@@ -99,7 +99,8 @@
 class Properties {
 public:
     // Adds a problem for each property whose name is not in `known`, and for arguments beyond `arguments`.
-    Properties(const kdl::Node& node, std::set<std::string> known, std::size_t arguments, Problems& problems);
+    Properties(const kdl::Node& node, const std::set<std::string>& known, std::size_t arguments,
+               Problems& problems);
     [[nodiscard]] std::string text(const char* name) const;
     [[nodiscard]] bool has(const char* name) const;
     bool duration(const char* name, Duration& out) const;
--- a/tests/membership/wall_clock_test.cpp
+++ b/tests/membership/wall_clock_test.cpp
@@ -31,7 +31,7 @@
 
 // Back by an hour, then on for two: of two times that showed the same, the later counts; none is in the
 // future.
-TEST(WallClock, TakesTheLaterOfTwoTimes) {
+TEST(WallClock, ConvertsToTheLaterOfTwoTimes) {
     WallClock clock(kStart, kWall);
     clock.observe(kStart + 4000s, kWall + 400s);
     EXPECT_EQ(clock.to_monotonic(kWall + 1000s), kStart + 1000s);  // not shown a second time yet
--- a/tests/prefix/event_stream_test.cpp
+++ b/tests/prefix/event_stream_test.cpp
@@ -31,9 +31,9 @@
     EXPECT_TRUE(gap.apply.empty());
     EXPECT_FALSE(stream.on_published(4, at(5)).replay_from);  // one replay at a time
     EXPECT_EQ(stream.on_replayed(1, at(2)).apply.size(), 1U);
-    const auto rest = stream.on_replayed(2, at(3));
-    EXPECT_EQ(rest.apply.size(), 3U);  // and the pending ones
-    EXPECT_FALSE(rest.clear);
+    const auto filled = stream.on_replayed(2, at(3));
+    EXPECT_EQ(filled.apply.size(), 3U);  // and the pending ones
+    EXPECT_FALSE(filled.clear);
     EXPECT_TRUE(stream.on_replayed(3, at(4)).apply.empty());
     EXPECT_TRUE(stream.on_replay_ended().apply.empty());
     EXPECT_EQ(stream.state(), EventStream::State::live);
--- a/tests/prefix/prefix_index_test.cpp
+++ b/tests/prefix/prefix_index_test.cpp
@@ -25,7 +25,7 @@
     index.apply(a, stored(blocks_text({1, 2, 3}), 1));
     index.apply(b, stored(blocks_text({1, 2}), 2));  // its own hashes, the same text
     index.apply(c, stored(blocks_text({7}), 3));
-    const auto text = blocks_text({1, 2, 3, 4}) + "and a rest";
+    const auto text = blocks_text({1, 2, 3, 4}) + "and more";
     EXPECT_EQ(tokens_cached(index, a, text), 3 * kTokens);
     EXPECT_EQ(tokens_cached(index, b, text), 2 * kTokens);
     EXPECT_EQ(tokens_cached(index, c, text), 0U);
@@ -150,7 +150,7 @@
                 p.cached.clear();
             }
             if (step % 10 != 0) continue;
-            const auto query = text() + "rest";
+            const auto query = text() + "more";
             std::map<EngineId, std::uint32_t> want;
             for (std::size_t i = 0; i < kEngines; i += 2) {
                 std::uint32_t blocks = 0;
