--- a/src/core/attempt_guard.hpp
+++ b/src/core/attempt_guard.hpp
@@ -29,11 +29,11 @@
     [[nodiscard]] bool may_begin(const ActiveRequest& request, const std::string& server, Time now) const;
     // May the client be answered that the request was not run?
     [[nodiscard]] bool may_reject(const ActiveRequest& request) const;
-    // May the client be told that a retry is harmless?
+    // Is a retry by the client harmless?
     [[nodiscard]] bool retryable(const ActiveRequest& request) const;
 
 private:
-    // May another attempt begin, at a server that is told apart by its zone and cell?
+    // May another attempt begin at this server? Deduplication scopes are distinguished by its zone and cell.
     [[nodiscard]] bool repeat_allowed(const ActiveRequest& request, const std::string& server,
                                       Time now) const;
     [[nodiscard]] const RequestClassSettings& class_of(const ActiveRequest& request) const {
--- a/src/core/attempt_runner.hpp
+++ b/src/core/attempt_runner.hpp
@@ -25,7 +25,7 @@
     void receive_stream(UpstreamCall& call, std::string_view bytes, Time now, StepOutput& output);
     // Closes the attempt's connection and ends it.
     void abort(CallId id, engine::Ending ending, const std::string& detail, Time now, StepOutput& output);
-    // The one place where an attempt ends, whatever ended it. The request may be gone after it.
+    // The one place where an attempt ends, whatever ended it. The request may be removed by it.
     void end(CallId id, engine::Ending ending, const std::string& detail, Time now, StepOutput& output);
     // Takes back the attempts that still wait for a connection to one of these servers.
     void withhold(const std::set<std::string>& servers, Time now, StepOutput& output);
--- a/src/core/platform_protocol.cpp
+++ b/src/core/platform_protocol.cpp
@@ -191,14 +191,14 @@
     return PrefillResult{{}, 0, platform::parse_cached_tokens(body)};
 }
 
-engine::Judgement PlatformProtocol::judge(const engine::Facts& f, const std::string&) const {
+engine::Judgement PlatformProtocol::judge(const engine::Facts& observed, const std::string&) const {
     platform::Facts facts;
-    switch (f.ending) {
+    switch (observed.ending) {
         case engine::Ending::answered: facts.ended = platform::Ended::answered; break;
         case engine::Ending::no_resources:
         case engine::Ending::expired:
             // A fault of this machine says nothing of the server: as if the attempt had never been made.
-            if (!f.sent) return {AttemptOutcome::not_sent, 0, false};
+            if (!observed.sent) return {AttemptOutcome::not_sent, false, false};
             facts.ended = platform::Ended::broke;
             break;
         case engine::Ending::dial_failed:
@@ -209,14 +209,14 @@
         case engine::Ending::timed_out: facts.ended = platform::Ended::timed_out; break;
         case engine::Ending::cancelled: facts.ended = platform::Ended::cancelled; break;
     }
-    facts.written = f.written;
-    facts.prefill = f.prefill;
-    facts.started = f.started;
-    facts.complete = f.complete;
-    facts.status = f.status;
-    facts.not_run = f.not_run != engine::NotRun::unknown;
-    const auto verdict = platform::judge(facts);
-    return {verdict.outcome, verdict.kv_state_missing, false};
+    facts.written = observed.written;
+    facts.prefill = observed.prefill;
+    facts.started = observed.started;
+    facts.complete = observed.complete;
+    facts.status = observed.status;
+    facts.not_run = observed.not_run != engine::NotRun::unknown;
+    const auto judgement = platform::judge(facts);
+    return {judgement.outcome, judgement.kv_state_missing, false};
 }
 
 std::optional<ServerRequest> PlatformProtocol::release(const std::string& name, std::int64_t,
--- a/src/core/request_completion.hpp
+++ b/src/core/request_completion.hpp
@@ -1,4 +1,4 @@
-// The way out: final answers of requests, their records, and the release of all that is kept for them.
+// Completes requests: final answers, their records, and the release of all that is held for them.
 // Stateless beside the parts that it coordinates; no errors.
 #pragma once
 
--- a/src/core/request_intake.hpp
+++ b/src/core/request_intake.hpp
@@ -1,4 +1,4 @@
-// The way in: turns what a client sends into an active request, or answers it at once.
+// Accepts requests: turns what a client sends into an active request, or answers it at once.
 //
 // Owns what a shutdown changes about that: whether new requests are taken, and until when those taken are
 // answered. Bad requests become answers; no other errors. Not thread-safe.
@@ -26,7 +26,7 @@
                 observe::TerminationReason reason, StepOutput& output);
     void start_request(ClientId client, ParsedRequest parsed, std::uint64_t number, std::size_t body_bytes,
                        Time now, StepOutput& output);
-    // What the router is told of a new request.
+    // The event that notifies the router of a new request.
     [[nodiscard]] RequestArrived arrival_of(const ActiveRequest& request, Time now) const;
 
     CoreParts& parts_;
--- a/src/core/vllm_protocol.cpp
+++ b/src/core/vllm_protocol.cpp
@@ -173,8 +173,8 @@
                     return malformed(std::move(out), "answer too large, or not a chunk");
                 continue;
             }
-            // The engine's count is asked for always, to correct our own; the client sees it only if it asked
-            // too.
+            // The engine's count is always requested, to correct the estimate; the client sees it only if it
+            // requested it, too.
             if (chunk.kind == engine::ChunkKind::usage_only && !request_.chat.include_usage) continue;
             out.to_client += chat::format_event(data);
         }
--- a/src/observe/event_loop_lag.hpp
+++ b/src/observe/event_loop_lag.hpp
@@ -1,5 +1,5 @@
-// Notices turns of an event loop that take long: while one does, answers, deadlines and clients' closes wait.
-// No clock of its own, no I/O.
+// Detects slow turns of an event loop: while one lasts, answers, deadlines and clients' closes wait. No
+// clock, no I/O; not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +17,7 @@
         std::uint64_t count = 0;  // how many of them were slow
     };
 
-    // To be told of each turn. Gives what is to be logged, at most once in kReportPause.
+    // To be called after each turn. Returns what is to be logged, at most once in kReportPause.
     [[nodiscard]] std::optional<Report> ended(Time begun, Time now) {
         const Duration taken = now - begun;
         if (taken >= kSlow) {
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -33,6 +33,12 @@
         by_server;
     std::string gateway;
 
+    void count(const RequestRecord& record);
+    void count(const AttemptRecord& record);
+    void count(const ServerRecord& record);
+    void count(const HeldRecord& record);
+    void count(const GuardRecord& record);
+
     explicit Families(const std::string& name)
         : requests(prometheus::BuildCounter()
                        .Name("chalksail_requests_total")
@@ -78,48 +84,46 @@
 Metrics::~Metrics() = default;
 
 void Metrics::count(const Record& record) {
-    std::visit([this](const auto& r) { count(r); }, record);
+    std::visit([this](const auto& typed) { families_->count(typed); }, record);
 }
 
-void Metrics::count(const RequestRecord& record) {
-    families_->requests
+void Metrics::Families::count(const RequestRecord& record) {
+    requests
         .Add({{"class", record.class_name},
               {"fate", std::string(name(record.termination))},
               {"reason", std::string(name(record.reason))}})
         .Increment();
     if (record.first_token > Duration::zero())
-        families_->first_token.Add({{"class", record.class_name}}, kSeconds)
-            .Observe(seconds(record.first_token));
+        first_token.Add({{"class", record.class_name}}, kSeconds).Observe(seconds(record.first_token));
 }
 
-void Metrics::count(const AttemptRecord& record) {
+void Metrics::Families::count(const AttemptRecord& record) {
     const std::string stage = record.prefill ? "read" : "write";
-    auto& counter = families_->attempts.Add(
-        {{"server", record.server}, {"stage", stage}, {"outcome", std::string(record.outcome)}});
+    auto& counter =
+        attempts.Add({{"server", record.server}, {"stage", stage}, {"outcome", std::string(record.outcome)}});
     counter.Increment();
-    families_->by_server[record.server].emplace(&families_->attempts, &counter);
-    families_->attempt_seconds.Add({{"stage", stage}}, kSeconds).Observe(seconds(record.taken));
+    by_server[record.server].emplace(&attempts, &counter);
+    attempt_seconds.Add({{"stage", stage}}, kSeconds).Observe(seconds(record.taken));
 }
 
-void Metrics::count(const ServerRecord& record) {
+void Metrics::Families::count(const ServerRecord& record) {
     // Only these have few results: others carry addresses and errors, one time series for each.
     const bool has_result =
         record.action == ServerAction::health_check || record.action == ServerAction::release;
-    auto& counter = families_->servers.Add({{"server", record.server},
-                                            {"what", std::string(name(record.action))},
-                                            {"result", has_result ? record.detail : ""}});
+    auto& counter = servers.Add({{"server", record.server},
+                                 {"what", std::string(name(record.action))},
+                                 {"result", has_result ? record.detail : ""}});
     counter.Increment();
-    families_->by_server[record.server].emplace(&families_->servers, &counter);
+    by_server[record.server].emplace(&servers, &counter);
 }
 
-void Metrics::count(const HeldRecord& record) {
-    families_->held
-        .Add({{"what", std::string(name(record.action))}, {"reason", std::string(name(record.reason))}})
+void Metrics::Families::count(const HeldRecord& record) {
+    held.Add({{"what", std::string(name(record.action))}, {"reason", std::string(name(record.reason))}})
         .Increment();
 }
 
-void Metrics::count(const GuardRecord& record) {
-    families_->guards.Add({{"what", std::string(name(record.reason))}}).Increment();
+void Metrics::Families::count(const GuardRecord& record) {
+    guards.Add({{"what", std::string(name(record.reason))}}).Increment();
 }
 
 void Metrics::forget(const std::string& server) {
--- a/src/observe/metrics.hpp
+++ b/src/observe/metrics.hpp
@@ -25,13 +25,6 @@
 
 private:
     struct Families;
-
-    void count(const RequestRecord& record);
-    void count(const AttemptRecord& record);
-    void count(const ServerRecord& record);
-    void count(const HeldRecord& record);
-    void count(const GuardRecord& record);
-
     std::unique_ptr<Families> families_;
 };
 
