--- a/src/core/edge.hpp
+++ b/src/core/edge.hpp
@@ -12,9 +12,9 @@
 //   EndpointRegistry   the endpoint list, verification, activity
 //   CacheIndex         reported prefix caches
 //   RouterHost         the routing policy and its timers
-// Three classes carry out what takes several of them: RequestIntake the way of a request in, AttemptRunner
-// its attempts, RequestCompletion its final answer. AttemptGuard stands between the routing policy and the
-// wire.
+// Three classes carry out what takes several of them: RequestIntake accepts a request,
+// AttemptRunner runs its attempts, RequestCompletion gives its final answer. AttemptGuard stands between the
+// routing policy and the wire.
 //
 // The policy decides where and when. What is decided here is what the rules leave to whoever owns the
 // sockets: the end at the deadline, what proves that an attempt did not run, that an attempt still waiting
