--- a/src/core/attempt_result.hpp
+++ b/src/core/attempt_result.hpp
@@ -17,7 +17,7 @@
     std::optional<PrefillResult> prefill;  // of a prefill attempt that ended well
 
     [[nodiscard]] AttemptOutcome outcome() const { return judgement.outcome; }
-    // The server's own verdict that the request is at fault: its answer goes to the client.
+    // The server found the request itself at fault (4xx): its answer goes to the client.
     [[nodiscard]] bool client_error() const { return judgement.client_error; }
     // Served to its end.
     [[nodiscard]] bool ok() const { return outcome() == AttemptOutcome::ok && !client_error(); }
--- a/src/core/attempt_runner.cpp
+++ b/src/core/attempt_runner.cpp
@@ -110,7 +110,7 @@
     event.server = {call.server};
     event.outcome = result.outcome();
     event.elapsed = now - call.begun;
-    // The break of a stream that had started ends the request, as its good end and a verdict on it do.
+    // The break of a stream that had started ends the request, as its good end and a client error do.
     event.request_finished = request.finished() || request.stream_started() || result.client_error();
     event.kv_state_missing = result.judgement.kv_state_missing;
     if (result.prefill) event.cached_prompt_tokens = result.prefill->cached_tokens.value_or(0);
--- a/src/core/vllm_protocol.cpp
+++ b/src/core/vllm_protocol.cpp
@@ -78,9 +78,9 @@
                                            [](const auto& m) { return m.name == "messages"; });
         if (messages == chat.members.end()) return {};
         const auto value = std::string_view(body).substr(messages->value, messages->end - messages->value);
-        const config::CacheEvents& c = settings->cache_events;
-        return c.vocabulary == config::Vocabulary::tokenizer
-                   ? engine::prompt_text(value, {c.prompt_begin, c.prompt_message})
+        const config::CacheEvents& cache_events = settings->cache_events;
+        return cache_events.vocabulary == config::Vocabulary::tokenizer
+                   ? engine::prompt_text(value, {cache_events.prompt_begin, cache_events.prompt_message})
                    : engine::prompt_text(value);
     }
     void set_prompt_tokens(double count) override { tokens->correct(class_index, chat.prompt_bytes, count); }
@@ -364,17 +364,17 @@
     return PrefillResult{std::move(answer->kv_params), answer->prompt_tokens, answer->cached_tokens};
 }
 
-engine::Judgement VllmProtocol::judge(const engine::Facts& seen, const std::string& kind) const {
-    engine::Facts facts = seen;
-    if (const auto* k = settings_.kind(kind))
-        facts.not_run_status = std::find(k->not_run_statuses.begin(), k->not_run_statuses.end(),
-                                         facts.status) != k->not_run_statuses.end();
+engine::Judgement VllmProtocol::judge(const engine::Facts& observed, const std::string& kind) const {
+    engine::Facts facts = observed;
+    if (const auto* known = settings_.kind(kind))
+        facts.not_run_status = std::find(known->not_run_statuses.begin(), known->not_run_statuses.end(),
+                                         facts.status) != known->not_run_statuses.end();
     return engine::judge(facts);
 }
 
 std::optional<ServerRequest> VllmProtocol::release(const std::string& name, std::int64_t attempt,
                                                    const std::string& state, const std::string& kind) const {
-    if (const auto* k = settings_.kind(kind); k != nullptr && !k->release) return std::nullopt;
+    if (const auto* known = settings_.kind(kind); known != nullptr && !known->release) return std::nullopt;
     auto headers = json_headers();
     headers.add(std::string(engine::kRequestIdHeader), name);
     headers.add(std::string(engine::kAttemptHeader), std::to_string(attempt));
