--- a/src/net/cache_feed.cpp
+++ b/src/net/cache_feed.cpp
@@ -4,188 +4,203 @@
 
 #include <algorithm>
 #include <stdexcept>
-#include <vector>
+#include <utility>
 
 #include "prefix/events.hpp"
 
 namespace chalksail::net {
 namespace {
 
-constexpr std::size_t kFrames = 4;  // more than any message here has
+// [topic, sequence, payload]; a replay has an empty frame in place of the topic.
+constexpr std::size_t kFrames = 3;
 
 int milliseconds(Duration d) {
     return static_cast<int>(std::chrono::duration_cast<std::chrono::milliseconds>(d).count());
 }
+
 std::string endpoint(const Address& address) { return "tcp://" + format_address(address); }
 
-}  // namespace
+[[noreturn]] void throw_zmq_error(const std::string& server, const char* what) {
+    throw std::runtime_error(server + ": " + what + ": " + zmq_strerror(zmq_errno()));
+}
 
-struct CacheFeed::Socket {
-    CacheFeed* feed = nullptr;
-    Followed* owner = nullptr;
-    void* zmq = nullptr;
-    uv_poll_t* poll = nullptr;
-    bool replays = false;
-    bool more = false;  // something is left to read
-
-    ~Socket() {
-        if (poll != nullptr) {
-            uv_poll_stop(poll);
-            uv_close(reinterpret_cast<uv_handle_t*>(poll),
-                     [](uv_handle_t* h) { delete reinterpret_cast<uv_poll_t*>(h); });
-        }
-        if (zmq != nullptr) zmq_close(zmq);
+// One part of a message. Always closed, also when nothing was received.
+class Frame {
+public:
+    Frame() { zmq_msg_init(&message_); }
+    ~Frame() { zmq_msg_close(&message_); }
+    Frame(const Frame&) = delete;
+    Frame& operator=(const Frame&) = delete;
+
+    // False: nothing is there.
+    bool receive(void* socket) { return zmq_msg_recv(&message_, socket, ZMQ_DONTWAIT) >= 0; }
+    [[nodiscard]] bool more_follow() const { return zmq_msg_more(&message_) != 0; }
+    [[nodiscard]] std::string bytes() {
+        return {static_cast<const char*>(zmq_msg_data(&message_)), zmq_msg_size(&message_)};
     }
+
+private:
+    zmq_msg_t message_{};
 };
-struct CacheFeed::Followed {
+
+// A whole message, or nothing if none is there. One frame beyond kFrames is kept at most: enough to tell that
+// there were too many.
+std::optional<std::vector<std::string>> receive_message(void* socket) {
+    std::vector<std::string> frames;
+    for (bool more = true; more;) {
+        Frame frame;
+        if (!frame.receive(socket)) return std::nullopt;
+        if (frames.size() <= kFrames) frames.push_back(frame.bytes());
+        more = frame.more_follow();
+    }
+    return frames;
+}
+
+}  // namespace
+
+void CacheFeed::ContextDeleter::operator()(void* context) const { zmq_ctx_term(context); }
+void CacheFeed::SocketDeleter::operator()(void* socket) const { zmq_close(socket); }
+
+struct CacheFeed::Socket {
     std::string server;
-    std::unique_ptr<Socket> events, replay;
+    SocketKind kind = SocketKind::events;
+    std::unique_ptr<void, SocketDeleter> zmq;
+    std::optional<Poll> poll;     // destroyed before the socket whose descriptor it watches
+    bool read_scheduled = false;  // messages may be left to read
+};
+
+struct CacheFeed::Subscription {
+    std::unique_ptr<Socket> events;
+    std::unique_ptr<Socket> replay;  // nullptr: its server replays nothing
 };
 
 CacheFeed::CacheFeed(uv_loop_t& loop, Handler& handler, Limits limits)
-    : loop_(loop), handler_(handler), limits_(limits), context_(zmq_ctx_new()) {
+    : loop_(loop), handler_(handler), limits_(limits), context_(zmq_ctx_new()), read_each_turn_(loop, [this] {
+          read_scheduled();
+      }) {
     if (context_ == nullptr) throw std::runtime_error("no ZeroMQ context");
-    idle_ = new uv_idle_t;
-    uv_idle_init(&loop_, idle_);
-    idle_->data = this;
 }
 
-CacheFeed::~CacheFeed() {
-    followed_.clear();
-    uv_idle_stop(idle_);
-    uv_close(reinterpret_cast<uv_handle_t*>(idle_),
-             [](uv_handle_t* h) { delete reinterpret_cast<uv_idle_t*>(h); });
-    zmq_ctx_term(context_);
-}
+CacheFeed::~CacheFeed() = default;
 
-std::unique_ptr<CacheFeed::Socket> CacheFeed::open(int type, const Address& address, Followed& owner,
-                                                   bool replays) {
+std::unique_ptr<CacheFeed::Socket> CacheFeed::open(SocketKind kind, const Address& address,
+                                                   const std::string& server) {
     auto out = std::make_unique<Socket>();
-    out->feed = this;
-    out->owner = &owner;
-    out->replays = replays;
-    out->zmq = zmq_socket(context_, type);
-    const auto fail = [&](const char* what) {
-        throw std::runtime_error(owner.server + ": " + what + ": " + zmq_strerror(zmq_errno()));
-    };
-    if (out->zmq == nullptr) fail("no socket");
+    out->server = server;
+    out->kind = kind;
+    out->zmq.reset(zmq_socket(context_.get(), kind == SocketKind::events ? ZMQ_SUB : ZMQ_DEALER));
+    if (out->zmq == nullptr) throw_zmq_error(server, "no socket");
+    set_options(*out, address);
+    if (zmq_connect(out->zmq.get(), endpoint(address).c_str()) != 0) throw_zmq_error(server, "connect");
+    int descriptor = -1;
+    std::size_t length = sizeof descriptor;
+    if (zmq_getsockopt(out->zmq.get(), ZMQ_FD, &descriptor, &length) != 0)
+        throw_zmq_error(server, "descriptor");
+    try {
+        out->poll.emplace(loop_, descriptor, [this, socket = out.get()] { schedule_read(*socket); });
+    } catch (const std::runtime_error&) {
+        throw std::runtime_error(server + ": can't watch its events");
+    }
+    out->poll->start();
+    out->poll->unref();
+    return out;
+}
+
+void CacheFeed::set_options(const Socket& socket, const Address& address) const {
     const auto set = [&](int option, const auto& value) {
-        if (zmq_setsockopt(out->zmq, option, &value, sizeof value) != 0) fail("socket option");
+        if (zmq_setsockopt(socket.zmq.get(), option, &value, sizeof value) != 0)
+            throw_zmq_error(socket.server, "socket option");
     };
     set(ZMQ_LINGER, 0);
     set(ZMQ_RCVHWM, limits_.queue);
     set(ZMQ_SNDHWM, limits_.queue);
-    set(ZMQ_MAXMSGSIZE, static_cast<std::int64_t>(limits_.message));
-    set(ZMQ_RECONNECT_IVL, milliseconds(limits_.reconnect_least));
-    set(ZMQ_RECONNECT_IVL_MAX, milliseconds(limits_.reconnect_most));
+    set(ZMQ_MAXMSGSIZE, static_cast<std::int64_t>(limits_.message_bytes));
+    set(ZMQ_RECONNECT_IVL, milliseconds(limits_.reconnect_min));
+    set(ZMQ_RECONNECT_IVL_MAX, milliseconds(limits_.reconnect_max));
     if (address.host.find(':') != std::string::npos) set(ZMQ_IPV6, 1);
-    if (type == ZMQ_SUB && zmq_setsockopt(out->zmq, ZMQ_SUBSCRIBE, "", 0) != 0) fail("subscribe");
-    if (zmq_connect(out->zmq, endpoint(address).c_str()) != 0) fail("connect");
-    int fd = -1;
-    std::size_t length = sizeof fd;
-    if (zmq_getsockopt(out->zmq, ZMQ_FD, &fd, &length) != 0) fail("descriptor");
-    out->poll = new uv_poll_t;
-    if (uv_poll_init(&loop_, out->poll, fd) != 0) {
-        delete out->poll;
-        out->poll = nullptr;
-        throw std::runtime_error(owner.server + ": can't watch its events");
-    }
-    out->poll->data = out.get();
-    uv_poll_start(out->poll, UV_READABLE, [](uv_poll_t* p, int, int) {
-        auto& socket = *static_cast<Socket*>(p->data);
-        socket.feed->look(socket);
-    });
-    uv_unref(reinterpret_cast<uv_handle_t*>(out->poll));
-    return out;
+    if (socket.kind == SocketKind::events && zmq_setsockopt(socket.zmq.get(), ZMQ_SUBSCRIBE, "", 0) != 0)
+        throw_zmq_error(socket.server, "subscribe");
 }
 
-void CacheFeed::follow(const std::string& server, const Address& events,
-                       const std::optional<Address>& replay) {
-    leave(server);
-    auto f = std::make_unique<Followed>();
-    f->server = server;
-    f->events = open(ZMQ_SUB, events, *f, false);
-    if (replay) f->replay = open(ZMQ_DEALER, *replay, *f, true);
-    Followed& kept = *followed_.emplace(server, std::move(f)).first->second;
-    look(*kept.events);
+void CacheFeed::subscribe(const std::string& server, const Address& events,
+                          const std::optional<Address>& replay) {
+    unsubscribe(server);
+    auto subscription = std::make_unique<Subscription>();
+    subscription->events = open(SocketKind::events, events, server);
+    if (replay) subscription->replay = open(SocketKind::replay, *replay, server);
+    Socket& socket = *subscription->events;
+    subscriptions_.emplace(server, std::move(subscription));
+    schedule_read(socket);
 }
 
-void CacheFeed::leave(const std::string& server) { followed_.erase(server); }
+void CacheFeed::unsubscribe(const std::string& server) { subscriptions_.erase(server); }
 
 void CacheFeed::replay(const std::string& server, std::uint64_t from) {
-    const auto it = followed_.find(server);
-    if (it == followed_.end()) return;
+    const auto it = subscriptions_.find(server);
+    if (it == subscriptions_.end()) return;
     if (it->second->replay == nullptr) return handler_.on_cache_replay_ended(server);
-    void* const socket = it->second->replay->zmq;
+    void* const socket = it->second->replay->zmq.get();
     const std::string bytes = prefix::encode_sequence(from);
     // The empty frame that a REQ socket would put there.
     if (zmq_send(socket, "", 0, ZMQ_SNDMORE | ZMQ_DONTWAIT) < 0 ||
         zmq_send(socket, bytes.data(), bytes.size(), ZMQ_DONTWAIT) < 0)
         return handler_.on_cache_replay_ended(server);
-    look(*it->second->replay);
+    schedule_read(*it->second->replay);
 }
 
-// ZeroMQ's descriptor tells of changes only: what is there has to be read to its end, or looked at again.
-void CacheFeed::look(Socket& socket) {
-    socket.more = true;
-    uv_idle_start(idle_, [](uv_idle_t* i) { static_cast<CacheFeed*>(i->data)->turn(); });
+// ZeroMQ's descriptor becomes readable only when something changes: a socket has to be read until it is
+// empty.
+void CacheFeed::schedule_read(Socket& socket) {
+    socket.read_scheduled = true;
+    read_each_turn_.start();
 }
 
-void CacheFeed::turn() {
-    Budget budget{limits_.each_turn, limits_.each_turn_bytes};
+void CacheFeed::read_scheduled() {
+    Budget budget{limits_.messages_per_turn, limits_.bytes_per_turn};
     bool left = false;
     // Guards against one server's flood taking every turn: each turn begins behind the one read last.
-    std::vector<Followed*> all;
-    for (auto it = followed_.upper_bound(last_turn_); it != followed_.end(); ++it)
-        all.push_back(it->second.get());
-    for (auto it = followed_.begin(); it != followed_.upper_bound(last_turn_); ++it)
-        all.push_back(it->second.get());
-    for (Followed* f : all)
-        for (Socket* s : {f->events.get(), f->replay.get()}) {
-            if (s == nullptr || !s->more) continue;
-            if (budget.messages > 0 && budget.bytes > 0) last_turn_ = f->server;
-            s->more = take(*s, budget);
-            left = left || s->more;
+    std::vector<Subscription*> in_order;
+    const auto behind_last = subscriptions_.upper_bound(last_read_);
+    for (auto it = behind_last; it != subscriptions_.end(); ++it) in_order.push_back(it->second.get());
+    for (auto it = subscriptions_.begin(); it != behind_last; ++it) in_order.push_back(it->second.get());
+    for (Subscription* subscription : in_order)
+        for (Socket* socket : {subscription->events.get(), subscription->replay.get()}) {
+            if (socket == nullptr || !socket->read_scheduled) continue;
+            if (budget.left()) last_read_ = socket->server;
+            socket->read_scheduled = read(*socket, budget);
+            left = left || socket->read_scheduled;
         }
-    if (!left) uv_idle_stop(idle_);
+    if (!left) read_each_turn_.stop();
 }
 
-bool CacheFeed::take(Socket& socket, Budget& left) {
-    while (left.messages > 0 && left.bytes > 0) {
-        std::vector<std::string> frames;
-        bool more = true, bad = false;
-        while (more) {
-            zmq_msg_t message;
-            zmq_msg_init(&message);
-            if (zmq_msg_recv(&message, socket.zmq, ZMQ_DONTWAIT) < 0) {
-                zmq_msg_close(&message);
-                return false;  // nothing is there
-            }
-            if (frames.size() < kFrames)
-                frames.emplace_back(static_cast<const char*>(zmq_msg_data(&message)), zmq_msg_size(&message));
-            else bad = true;
-            more = zmq_msg_more(&message) != 0;
-            zmq_msg_close(&message);
-        }
-        left.messages -= 1;
+bool CacheFeed::read(Socket& socket, Budget& budget) {
+    while (budget.left()) {
+        auto frames = receive_message(socket.zmq.get());
+        if (!frames) return false;
         std::size_t size = 0;
-        for (const auto& frame : frames) size += frame.size();
-        left.bytes -= std::min(left.bytes, size);
-        counts_.messages += 1;
-        const auto sequence = !bad && frames.size() == 3 ? prefix::decode_sequence(frames[1]) : std::nullopt;
-        if (!sequence) {
-            counts_.malformed += 1;
-            continue;
-        }
-        if (socket.replays && frames[2].empty()) handler_.on_cache_replay_ended(socket.owner->server);
-        else handler_.on_cache_message(socket.owner->server, *sequence, std::move(frames[2]), socket.replays);
+        for (const auto& frame : *frames) size += frame.size();
+        budget.messages -= 1;
+        budget.bytes -= std::min(budget.bytes, size);
+        on_message(socket, std::move(*frames));
     }
     return true;
 }
 
+void CacheFeed::on_message(const Socket& socket, std::vector<std::string> frames) {
+    counts_.messages += 1;
+    const auto sequence = frames.size() == kFrames ? prefix::decode_sequence(frames[1]) : std::nullopt;
+    if (!sequence) {
+        counts_.malformed += 1;
+        return;
+    }
+    const bool replayed = socket.kind == SocketKind::replay;
+    if (replayed && frames[2].empty()) handler_.on_cache_replay_ended(socket.server);
+    else handler_.on_cache_message(socket.server, *sequence, std::move(frames[2]), replayed);
+}
+
 CacheFeed::Counts CacheFeed::counts() const {
     Counts out = counts_;
-    out.followed = followed_.size();
+    out.subscriptions = subscriptions_.size();
     return out;
 }
 
--- /dev/null
+++ b/src/net/cache_snapshot_store.cpp
@@ -0,0 +1,39 @@
+#include "net/cache_snapshot_store.hpp"
+
+#include <stdexcept>
+
+namespace chalksail::net {
+namespace {
+
+template <typename Operation>
+void log_errors_of(observe::Log& log, const Operation& operation) {
+    try {
+        operation();
+    } catch (const std::runtime_error& error) {
+        log.error("cache_snapshots", error.what());
+    }
+}
+
+}  // namespace
+
+CacheSnapshotStore::CacheSnapshotStore(const std::string& folder, std::size_t max_bytes, observe::Log& log)
+    : store_(folder, max_bytes), log_(log) {
+    if (store_.set_aside()) log_.warn("cache_snapshots", "the file was not usable, and is set aside");
+}
+
+void CacheSnapshotStore::put(const std::string& server, const std::string& snapshot) {
+    log_errors_of(log_, [&] {
+        store_.put(server, snapshot);
+        written_ += 1;
+    });
+}
+
+void CacheSnapshotStore::erase(const std::string& server) {
+    log_errors_of(log_, [&] { store_.erase(server); });
+}
+
+void CacheSnapshotStore::flush() {
+    log_errors_of(log_, [&] { store_.flush(); });
+}
+
+}  // namespace chalksail::net
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -3,23 +3,26 @@
 #include <algorithm>
 #include <utility>
 
-#include "net/http_server.hpp"
+#include "net/loop_clock.hpp"
 
 namespace chalksail::net {
 namespace {
 
-constexpr std::uint64_t kLookMs = 20;
-constexpr Duration kClockLook = std::chrono::milliseconds(500);
+constexpr std::chrono::milliseconds kPollInterval{20};  // the schedule's times are far longer
+// A step of the wall clock is noticed within this time.
+constexpr Duration kWallClockInterval = std::chrono::milliseconds(500);
+constexpr std::size_t kHeadBytes = 16 * 1024;
+constexpr std::size_t kConnections = 2;  // the watch, and the one that replaces it
 
 Duration wall_now() {
     return std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
 }
 
-PoolLimits pool_limits(const WatchLimits& l) {
+PoolLimits watch_pool_limits(const WatchLimits& limits) {
     PoolLimits out;
-    out.message = {16 * 1024, 0};
-    out.per_server = 2;
-    out.dial_timeout = l.dial_timeout;
+    out.message = {kHeadBytes, 0};
+    out.per_server = kConnections;
+    out.dial_timeout = limits.dial_timeout;
     return out;
 }
 
@@ -31,37 +34,29 @@
       discovery_(std::move(discovery)),
       known_(std::move(known)),
       limits_(limits),
-      pool_(loop, *this, pool_limits(limits)),
+      pool_(loop, *this, watch_pool_limits(limits)),
+      poll_timer_(loop, [this] { poll(); }),
       wall_clock_(uv_now_time(), wall_now()),
       schedule_(limits),
-      objects_(limits.object_bytes) {
-    timer_ = new uv_timer_t;
-    uv_timer_init(&loop, timer_);
-    timer_->data = this;
-}
+      objects_(limits.object_bytes) {}
 
-DiscoveryWatch::~DiscoveryWatch() {
-    uv_timer_stop(timer_);
-    uv_close(reinterpret_cast<uv_handle_t*>(timer_),
-             [](uv_handle_t* h) { delete reinterpret_cast<uv_timer_t*>(h); });
-}
+DiscoveryWatch::~DiscoveryWatch() = default;
 
 void DiscoveryWatch::start(membership::ListSink& sink) {
     sink_ = &sink;
     if (known_) {
-        take(*known_, EndpointUpdateKind::cached_snapshot);
+        publish(*known_, EndpointUpdateKind::cached_snapshot);
         known_.reset();
     }
     open();
-    uv_timer_start(
-        timer_, [](uv_timer_t* t) { static_cast<DiscoveryWatch*>(t->data)->look(); }, kLookMs, kLookMs);
-    uv_unref(reinterpret_cast<uv_handle_t*>(timer_));
+    poll_timer_.start_repeating(kPollInterval);
+    poll_timer_.unref();
 }
 
-void DiscoveryWatch::look() {
+void DiscoveryWatch::poll() {
     const Time now = uv_now_time();
-    if (now >= clocks_due_) look_at_clocks(now);
-    if (schedule_.silent(now)) give_up("silent");
+    if (now >= wall_clock_due_) observe_wall_clock(now);
+    if (schedule_.silent(now)) close("silent");
     if (schedule_.due(now)) open();
 }
 
@@ -69,89 +64,88 @@
     if (discovery == discovery_) return;
     log_.info("discovery", "moves to " + format_address(discovery));
     discovery_ = std::move(discovery);
-    if (out_) pool_.cancel(call_);
+    if (open_) pool_.cancel(call_);
     schedule_.target_changed(uv_now_time());
     open();
 }
 
 void DiscoveryWatch::open() {
     objects_ = platform::ObjectReader(limits_.object_bytes);
-    version_.reset();
-    out_ = true;
+    generation_.reset();
+    open_ = true;
     schedule_.opened(uv_now_time());
     pool_.start(++call_, Target(discovery_), "GET", platform::watch_target(), {}, "");
 }
 
-void DiscoveryWatch::give_up(const std::string& why) {
+void DiscoveryWatch::close(const std::string& reason) {
     pool_.cancel(call_);
-    end(why);
+    on_ended(reason);
 }
 
-void DiscoveryWatch::end(const std::string& why) {
-    out_ = false;
+void DiscoveryWatch::on_ended(const std::string& reason) {
+    open_ = false;
     schedule_.ended(uv_now_time());
-    log_.warn("discovery", why + "; the last list stays in force");
+    log_.warn("discovery", reason + "; the last list stays in force");
 }
 
 void DiscoveryWatch::on_head(UpstreamPool::Call call, int status, http::Headers) {
-    if (call != call_ || !out_) return;
+    if (call != call_ || !open_) return;
     if (status == 200) schedule_.received(uv_now_time(), false, false);
-    else give_up("answers " + std::to_string(status));
+    else close("answers " + std::to_string(status));
 }
 
 void DiscoveryWatch::on_body(UpstreamPool::Call call, std::string bytes) {
-    if (call != call_ || !out_) return;
+    if (call != call_ || !open_) return;
     const auto objects = objects_.feed(bytes);
     schedule_.received(uv_now_time(), objects_.midway(), !objects.empty());
     for (const auto& text : objects) {
-        take_object(text);
-        if (!out_) return;
+        on_object(text);
+        if (!open_) return;
     }
-    if (objects_.overflowed()) give_up("told more than is taken at once");
+    if (objects_.overflowed()) close("told more than is taken at once");
 }
 
-void DiscoveryWatch::take_object(const std::string& text) {
+void DiscoveryWatch::on_object(const std::string& text) {
     const auto update = platform::parse_endpoint_list(text);
-    if (!update) return give_up("told what can't be read: " + update.error());
-    // Guards against going back, and against missing what came in between: changes follow each other upwards.
-    // Where they don't, discovery has started anew under this watch, and only the whole list tells what
-    // holds.
-    const bool next = update->whole || !version_ || update->generation > *version_;
-    if (!next && update->instances.empty()) return;
-    if (!next) return give_up("told changes that do not follow what it told before");
-    version_ = update->generation;
-    take(*update, update->whole ? EndpointUpdateKind::snapshot : EndpointUpdateKind::delta);
+    if (!update) return close("told what can't be read: " + update.error());
+    // Guards against applying changes out of order, and against missing some: generations increase. Where
+    // they don't, discovery has restarted under this watch, and only a snapshot shows the current list.
+    const bool in_order = update->whole || !generation_ || update->generation > *generation_;
+    if (!in_order && update->instances.empty()) return;
+    if (!in_order) return close("told changes that do not follow what it told before");
+    generation_ = update->generation;
+    publish(*update, update->whole ? EndpointUpdateKind::snapshot : EndpointUpdateKind::delta);
 }
 
 void DiscoveryWatch::on_done(UpstreamPool::Call call) {
-    if (call == call_ && out_) end("ended the watch");
+    if (call == call_ && open_) on_ended("ended the watch");
 }
 void DiscoveryWatch::on_failed(UpstreamPool::Call call, engine::Ending, std::string detail) {
-    if (call == call_ && out_) end(detail);
+    if (call == call_ && open_) on_ended(detail);
 }
 
-void DiscoveryWatch::look_at_clocks(Time now) {
-    clocks_due_ = now + kClockLook;
+void DiscoveryWatch::observe_wall_clock(Time now) {
+    wall_clock_due_ = now + kWallClockInterval;
     wall_clock_.observe(now, wall_now());
 }
 
-void DiscoveryWatch::take(const platform::EndpointListUpdate& update, EndpointUpdateKind scope) {
-    look_at_clocks(uv_now_time());
+void DiscoveryWatch::publish(const platform::EndpointListUpdate& update, EndpointUpdateKind kind) {
+    observe_wall_clock(uv_now_time());
     if (update.whole) start_times_.forget_all_but(update.instances);
     membership::EndpointList list;
-    list.kind = scope;
-    for (const auto& i : update.instances) {
-        membership::EndpointConfig s;
-        s.endpoint = {{i.id},
-                      i.zone,
-                      i.kind,
-                      i.cell,
-                      i.state,
-                      i.weight,
-                      start_times_.of(i.id, i.started_unix_ms, wall_clock_)};
-        s.address = i.address;
-        list.endpoints.push_back(std::move(s));
-        if (i.state == EndpointState::removed) start_times_.forget(i.id);
+    list.kind = kind;
+    for (const auto& instance : update.instances) {
+        membership::EndpointConfig config;
+        config.endpoint = {{instance.id},
+                           instance.zone,
+                           instance.kind,
+                           instance.cell,
+                           instance.state,
+                           instance.weight,
+                           start_times_.of(instance.id, instance.started_unix_ms, wall_clock_)};
+        config.address = instance.address;
+        list.endpoints.push_back(std::move(config));
+        if (instance.state == EndpointState::removed) start_times_.forget(instance.id);
     }
     sink_->take(std::move(list));
 }
--- a/src/net/discovery_watch.hpp
+++ b/src/net/discovery_watch.hpp
@@ -1,7 +1,8 @@
-// The platform's discovery: a watch of its list that is taken up again whenever it ends or falls silent. Each
-// watch begins with the whole list, so that nothing is missed between two of them. While none can be had the
-// last good list stays in force; what can't be read closes the watch. When to open and when to give up is
-// decided in membership/watch_schedule.hpp. One libuv loop, one thread.
+// Watches the platform's discovery service for its list of endpoints. The watch is opened again whenever it
+// ends or stays silent for too long. Each watch begins with a snapshot, so that no change between two of them
+// is missed. Without a watch the last good list stays in force; malformed data closes the watch. When to open
+// and when to close is decided in membership/watch_schedule.hpp. One libuv loop, one thread. Errors are
+// logged.
 #pragma once
 
 #include <uv.h>
@@ -15,6 +16,7 @@
 #include "membership/source.hpp"
 #include "membership/wall_clock.hpp"
 #include "membership/watch_schedule.hpp"
+#include "net/loop_handles.hpp"
 #include "net/upstream_pool.hpp"
 #include "observe/log.hpp"
 #include "platform/endpoint_list.hpp"
@@ -25,7 +27,7 @@
 
 class DiscoveryWatch : public membership::ListSource, UpstreamPool::Handler {
 public:
-    // `known`: a list from before, which may be old.
+    // `known`: a cached list, which may be out of date; reported as EndpointUpdateKind::cached_snapshot.
     DiscoveryWatch(uv_loop_t& loop, observe::Log& log, Address discovery,
                    std::optional<platform::EndpointListUpdate> known, WatchLimits limits = {});
     ~DiscoveryWatch() override;
@@ -33,7 +35,7 @@
     DiscoveryWatch& operator=(const DiscoveryWatch&) = delete;
 
     void start(membership::ListSink& sink) override;
-    // Discovery answers at another address from now on. The list stays until the whole one of there is in.
+    // Watches another address from now on. The list stays in force until the first snapshot from there.
     void move(Address discovery);
 
 private:
@@ -41,13 +43,15 @@
     void on_body(UpstreamPool::Call call, std::string bytes) override;
     void on_done(UpstreamPool::Call call) override;
     void on_failed(UpstreamPool::Call call, engine::Ending ending, std::string detail) override;
-    void look();
+    // Checks the schedule: closes a silent watch, opens one that is due.
+    void poll();
     void open();
-    void give_up(const std::string& why);
-    void end(const std::string& why);
-    void take_object(const std::string& text);
-    void take(const platform::EndpointListUpdate& update, EndpointUpdateKind scope);
-    void look_at_clocks(Time now);
+    // Closes the watch because of what it sent, or did not send.
+    void close(const std::string& reason);
+    void on_ended(const std::string& reason);
+    void on_object(const std::string& text);
+    void publish(const platform::EndpointListUpdate& update, EndpointUpdateKind kind);
+    void observe_wall_clock(Time now);
 
     observe::Log& log_;
     Address discovery_;
@@ -55,14 +59,14 @@
     WatchLimits limits_;
     UpstreamPool pool_;
     membership::ListSink* sink_ = nullptr;
-    uv_timer_t* timer_ = nullptr;
+    Timer poll_timer_;
     membership::WallClock wall_clock_;
     membership::StartTimes start_times_;
-    Time clocks_due_{};  // for the next look at them
+    Time wall_clock_due_{};  // when it is observed next
     membership::WatchSchedule schedule_;
-    UpstreamPool::Call call_ = 0;          // the last one started
-    bool out_ = false;                     // it is under way
-    std::optional<std::int64_t> version_;  // of the list, as this call last told it
+    UpstreamPool::Call call_ = 0;             // the last one started
+    bool open_ = false;                       // that call is under way
+    std::optional<std::int64_t> generation_;  // of the list, as last received in this watch
     platform::ObjectReader objects_;
 };
 
--- a/src/net/edge_server.hpp
+++ b/src/net/edge_server.hpp
@@ -1,35 +1,46 @@
-// The edge on sockets: carries bytes and time to the core and does what it says. Decides nothing.
-// One libuv loop, one thread: the one that calls run().
+// The gateway on sockets: hands what comes from clients, servers, cache events and the endpoint list to the
+// core as inputs, runs the core's steps behind the reads of each turn of the loop, and has its effects
+// carried out. Decides nothing.
+//
+// Owns the listener, the connections to servers, the admin listener and the caches' subscriptions. One libuv
+// loop, one thread: the one that runs the loop. Errors: the constructor throws (see there); later ones are
+// logged, and never end the gateway.
 #pragma once
 
 #include <uv.h>
 
-#include <functional>
-#include <map>
 #include <memory>
 #include <optional>
 #include <string>
-#include <unordered_map>
 #include <vector>
 
 #include "core/edge.hpp"
-#include "core/shutdown.hpp"
 #include "net/admin.hpp"
+#include "net/admin_endpoint.hpp"
 #include "net/cache_feed.hpp"
+#include "net/cache_snapshot_store.hpp"
+#include "net/effect_executor.hpp"
+#include "net/graceful_shutdown.hpp"
 #include "net/http_server.hpp"
-#include "net/tls/certificate_reloader.hpp"
+#include "net/tls_certificates.hpp"
+#include "net/turn_scheduler.hpp"
 #include "net/upstream_pool.hpp"
 #include "observe/event_loop_lag.hpp"
 #include "observe/log.hpp"
 #include "observe/metrics.hpp"
-#include "store/store.hpp"
 
 namespace chalksail::net {
 
-class EdgeServer : HttpServer::Handler, UpstreamPool::Handler, CacheFeed::Handler, membership::ListSink {
+class EdgeServer : HttpServer::Handler,
+                   UpstreamPool::Handler,
+                   CacheFeed::Handler,
+                   membership::ListSink,
+                   AdminEndpoint::Gateway,
+                   GracefulShutdown::Gateway {
 public:
-    // Throws std::runtime_error if an address can't be listened on, std::invalid_argument for bad settings.
-    // `list`: where the list of servers comes from; nullptr: the settings' own, and the admin listener.
+    // Throws std::runtime_error if an address can't be listened on or a file can't be used,
+    // std::invalid_argument for bad settings. `list`: where the list of endpoints comes from; nullptr: the
+    // settings' own, and the admin listener.
     EdgeServer(uv_loop_t& loop, const config::EdgeSettings& settings, observe::Log& log,
                std::unique_ptr<membership::ListSource> list = nullptr);
     ~EdgeServer() override;
@@ -40,19 +51,20 @@
     // Port 0: there is no admin listener.
     [[nodiscard]] const Address& admin_address() const { return admin_address_; }
     // Begins the shutdown (core/shutdown.hpp). When it is over everything is closed, so that the loop ends.
-    void drain();
-    // Looks whether TLS files have changed. Also done by itself every few seconds.
+    void drain() { shutdown_.begin(); }
+    // Checks the TLS files for changes. Also done by itself, every EdgeLimits::tls_poll_interval.
     void reload_tls();
     [[nodiscard]] bool finished() const { return finished_; }
     [[nodiscard]] core::Gauges gauges() const { return edge_.gauges(); }
 
 private:
-    struct AdminHandler;
+    // HttpServer::Handler
     void on_request(HttpServer::Peer peer, http::Request request) override;
     void on_closed(HttpServer::Peer peer, const ConnectionEnd& end) override;
     void on_backlog(HttpServer::Peer peer, bool full) override;
     void on_idle_closed(const ConnectionEnd& end) override;
     void on_accept_failed(int error) override;
+    // UpstreamPool::Handler
     bool on_ready(UpstreamPool::Call call, http::Headers& headers) override;
     void on_sent(UpstreamPool::Call call) override;
     void on_written(UpstreamPool::Call call) override;
@@ -60,58 +72,65 @@
     void on_body(UpstreamPool::Call call, std::string bytes) override;
     void on_done(UpstreamPool::Call call) override;
     void on_failed(UpstreamPool::Call call, engine::Ending ending, std::string detail) override;
+    // CacheFeed::Handler
     void on_cache_message(const std::string& server, std::uint64_t sequence, std::string payload,
                           bool replayed) override;
     void on_cache_replay_ended(const std::string& server) override;
+    // membership::ListSink
     void take(membership::EndpointList list) override;
-    void admin_request(HttpServer::Peer peer, const http::Request& request);
+    // AdminEndpoint::Gateway
+    [[nodiscard]] std::vector<membership::EndpointConfig> endpoints() const override;
+    [[nodiscard]] std::string metrics_page() override;
+    [[nodiscard]] bool draining() const override { return shutdown_.begun(); }
+    // GracefulShutdown::Gateway
+    [[nodiscard]] core::Shutdown::Outstanding outstanding() const override;
+    void announce_shutdown(Time answers_until) override;
+    void stop_accepting() override;
+    void answer_open_requests() override;
+    void end_connections() override;
+    void poll_soon() override { dispatch_soon(); }
+    void finish() override;
 
-    [[nodiscard]] Target target_of(const core::Call& call);
-    void pump();  // gives the core what has come, and does what it says, until nothing is left
-    // pump() in this turn of the loop, once its sockets were read.
-    void pump_soon();
-    void add(core::Input input);
-    void look_at_drain();
-    void take_step(core::Shutdown::Step step);
-    void carry_out(core::Output& output);
-    void finish();
-    void note_slow_turn(Time begun);
+    void create_list_sources();
+    void open_cache_feed();
+    void listen();
+    void start_tls_polling();
+    void start_list_sources();
+
+    void enqueue(core::Input input);
+    // Runs dispatch() in this turn of the loop, once its sockets were read.
+    void dispatch_soon();
+    void on_turn(Time turn_began);
+    // Steps the core, and has its effects carried out, until there are no more inputs.
+    void dispatch();
+    void log_event_loop_lag(Time turn_began);
 
     uv_loop_t& loop_;
     config::EdgeSettings settings_;
     observe::Log& log_;
     observe::Metrics metrics_;
     core::Edge edge_;
-    std::unique_ptr<AdminHandler> admin_handler_;
-    std::unique_ptr<HttpServer> clients_;
-    std::unique_ptr<HttpServer> admin_;
-    std::unique_ptr<UpstreamPool> servers_;
-    void store_snapshot(const std::function<void()>& write);
-    std::unique_ptr<store::Store> snapshots_;  // nullptr: none are kept
-    std::uint64_t snapshots_written_ = 0;
-    std::unique_ptr<CacheFeed> caches_;  // nullptr: no kind publishes cache events
     std::vector<core::Input> inputs_;
-    std::map<std::string, tls::CertificateReloader> tls_;  // by kind of server
-    std::optional<tls::CertificateReloader> listener_tls_;
+    TlsCertificates certificates_;
     std::unique_ptr<membership::ListSource> list_;
-    std::unique_ptr<SettingsSource> settings_source_;
-    std::unique_ptr<AdminSource> admin_source_;
+    std::unique_ptr<SettingsSource> settings_source_;  // where there is no list_
+    std::unique_ptr<AdminSource> admin_source_;        // the same
+    std::unique_ptr<HttpServer> clients_;
+    std::unique_ptr<AdminEndpoint> admin_;  // nullptr: there is no admin listener
+    std::unique_ptr<UpstreamPool> servers_;
+    std::unique_ptr<CacheSnapshotStore> cache_snapshots_;  // nullptr: none are stored
+    std::unique_ptr<CacheFeed> cache_feed_;                // nullptr: no kind publishes cache events
+    std::optional<EffectExecutor> effects_;
     Address address_;
     Address admin_address_;
-    uv_check_t* check_ = nullptr;
-    uv_idle_t* turn_ = nullptr;  // while it is active the loop does not wait for its sockets
-    uv_timer_t* wake_ = nullptr;
-    uv_timer_t* drain_timer_ = nullptr;
-    uv_timer_t* reload_timer_ = nullptr;
+    std::optional<TurnScheduler> scheduler_;  // until finish()
+    std::optional<Timer> tls_poll_timer_;     // the same, where TLS is used
+    GracefulShutdown shutdown_;
+    observe::EventLoopLag event_loop_lag_;
     std::uint64_t accept_errors_ = 0;
-    Time accept_logged_{};
-    observe::EventLoopLag slow_turns_;
-    std::uint64_t tls_refused_ = 0;
-    std::uint64_t tls_replaced_ = 0;
-    std::optional<core::Shutdown> shutdown_;  // from SIGTERM on
-    bool drain_look_due_ = false;
+    Time accept_error_logged_{};
     bool finished_ = false;
-    bool pumping_ = false;
+    bool dispatching_ = false;
 };
 
 }  // namespace chalksail::net
--- /dev/null
+++ b/src/net/effect_executor.cpp
@@ -0,0 +1,75 @@
+#include "net/effect_executor.hpp"
+
+#include <stdexcept>
+#include <utility>
+#include <variant>
+
+namespace chalksail::net {
+
+void EffectExecutor::execute(core::Output& effect) {
+    std::visit([this](auto& one) { apply(one); }, effect);
+}
+
+// ---- responses to clients ----
+
+void EffectExecutor::apply(core::SendResponse& effect) {
+    resources_.clients.reply(effect.client.value, effect.status, std::move(effect.headers), effect.body);
+}
+void EffectExecutor::apply(core::StreamBegin& effect) {
+    resources_.clients.begin_stream(effect.client.value, std::move(effect.headers));
+}
+void EffectExecutor::apply(core::StreamBytes& effect) {
+    resources_.clients.stream(effect.client.value, effect.bytes);
+}
+void EffectExecutor::apply(core::StreamEnd& effect) { resources_.clients.end_stream(effect.client.value); }
+void EffectExecutor::apply(core::AbortStream& effect) { resources_.clients.cut(effect.client.value); }
+
+// ---- calls to servers ----
+
+void EffectExecutor::apply(core::Call& effect) {
+    const Target target =
+        resources_.certificates.target_of(effect.address, effect.server_kind, effect.server);
+    if (effect.kind == core::CallKind::verify) return resources_.servers.connect(effect.call.value, target);
+    resources_.servers.start(effect.call.value, target, effect.method, effect.target,
+                             std::move(effect.headers), effect.body, effect.priority,
+                             effect.kind == core::CallKind::release);
+}
+void EffectExecutor::apply(core::CallAbort& effect) { resources_.servers.cancel(effect.call.value); }
+void EffectExecutor::apply(core::HalfCloseCall& effect) { resources_.servers.end_sending(effect.call.value); }
+void EffectExecutor::apply(core::CompleteCall& effect) { resources_.servers.settle(effect.call.value); }
+void EffectExecutor::apply(core::SetCallPaused& effect) {
+    resources_.servers.flow(effect.call.value, effect.paused);
+}
+
+// ---- cache events ----
+
+void EffectExecutor::apply(core::SubscribeCacheEvents& effect) {
+    try {
+        resources_.cache_feed->subscribe(effect.server, effect.events, effect.replay);
+    } catch (const std::runtime_error& error) {
+        // What it has cached is estimated, as of a server that publishes no events.
+        resources_.log.error("cache_events", error.what());
+    }
+}
+void EffectExecutor::apply(core::UnsubscribeCacheEvents& effect) {
+    resources_.cache_feed->unsubscribe(effect.server);
+}
+void EffectExecutor::apply(core::ReplayCacheEvents& effect) {
+    resources_.cache_feed->replay(effect.server, effect.from);
+}
+void EffectExecutor::apply(core::StoreCacheSnapshot& effect) {
+    resources_.cache_snapshots->put(effect.server, effect.snapshot);
+}
+void EffectExecutor::apply(core::DropCacheSnapshot& effect) {
+    resources_.cache_snapshots->erase(effect.server);
+}
+
+// ---- records ----
+
+void EffectExecutor::apply(core::EndpointForgotten& effect) { resources_.metrics.forget(effect.server); }
+void EffectExecutor::apply(core::EmitRecord& effect) {
+    if (resources_.metrics_exposed) resources_.metrics.count(effect.record);
+    resources_.log.write(effect.record);
+}
+
+}  // namespace chalksail::net
--- /dev/null
+++ b/src/net/effect_executor.hpp
@@ -0,0 +1,54 @@
+// Carries out the effects that the core returns, on the gateway's sockets, stores, logs and metrics. Decides
+// nothing. One thread; what it is given outlives it. Errors are logged.
+#pragma once
+
+#include "core/edge.hpp"
+#include "net/cache_feed.hpp"
+#include "net/cache_snapshot_store.hpp"
+#include "net/http_server.hpp"
+#include "net/tls_certificates.hpp"
+#include "net/upstream_pool.hpp"
+#include "observe/log.hpp"
+#include "observe/metrics.hpp"
+
+namespace chalksail::net {
+
+class EffectExecutor {
+public:
+    struct Resources {
+        HttpServer& clients;
+        UpstreamPool& servers;
+        TlsCertificates& certificates;
+        observe::Log& log;
+        observe::Metrics& metrics;
+        CacheFeed* cache_feed = nullptr;                // nullptr: no kind of server publishes cache events
+        CacheSnapshotStore* cache_snapshots = nullptr;  // nullptr: none are stored
+        bool metrics_exposed = false;                   // else records are logged only
+    };
+    explicit EffectExecutor(Resources resources) : resources_(resources) {}
+
+    void execute(core::Output& effect);
+
+private:
+    void apply(core::SendResponse& effect);
+    void apply(core::StreamBegin& effect);
+    void apply(core::StreamBytes& effect);
+    void apply(core::StreamEnd& effect);
+    void apply(core::AbortStream& effect);
+    void apply(core::Call& effect);
+    void apply(core::CallAbort& effect);
+    void apply(core::HalfCloseCall& effect);
+    void apply(core::CompleteCall& effect);
+    void apply(core::SetCallPaused& effect);
+    void apply(core::SubscribeCacheEvents& effect);
+    void apply(core::UnsubscribeCacheEvents& effect);
+    void apply(core::ReplayCacheEvents& effect);
+    void apply(core::StoreCacheSnapshot& effect);
+    void apply(core::DropCacheSnapshot& effect);
+    void apply(core::EndpointForgotten& effect);
+    void apply(core::EmitRecord& effect);
+
+    Resources resources_;
+};
+
+}  // namespace chalksail::net
--- /dev/null
+++ b/src/net/gateway_gauges.hpp
@@ -0,0 +1,33 @@
+// The gateway's gauges on its metrics page, read when the page is requested. docs/operators/gateway.md lists
+// them. Pure but for the metrics that are set.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <string>
+
+#include "core/edge.hpp"
+#include "net/cache_feed.hpp"
+#include "net/http_server.hpp"
+#include "net/tls_certificates.hpp"
+#include "net/upstream_pool.hpp"
+#include "observe/metrics.hpp"
+
+namespace chalksail::net {
+
+struct GatewayGauges {
+    core::Gauges core;
+    HttpServer::Counts clients;
+    std::uint64_t accept_errors = 0;
+    UpstreamPool::Counts servers;
+    TlsCertificates::Counts certificates;
+    std::optional<std::int64_t> listener_valid_seconds;         // nothing: the listener has no TLS
+    std::map<std::string, std::int64_t> servers_valid_seconds;  // by kind of server, of those with TLS
+    std::optional<CacheFeed::Counts> cache_feed;                // nothing: no kind publishes cache events
+    std::uint64_t snapshots_written = 0;
+};
+
+void publish(const GatewayGauges& gauges, observe::Metrics& metrics);
+
+}  // namespace chalksail::net
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr std::size_t kReadBuffer = 64 * 1024;
-constexpr std::uint64_t kSweepMs = 250;
+constexpr std::chrono::milliseconds kSweepInterval{250};
 
 using Reason = ConnectionEnd::Reason;
 
@@ -95,38 +95,36 @@
     : loop_(loop),
       handler_(handler),
       limits_(limits),
+      sweep_timer_(loop, [this] { sweep(); }),
       read_buffer_(kReadBuffer),
       idle_connections_(limits.idle_connections) {
-    sweeper_ = new uv_timer_t;
-    uv_timer_init(&loop_, sweeper_);
-    sweeper_->data = this;
-    uv_timer_start(
-        sweeper_, [](uv_timer_t* t) { static_cast<HttpServer*>(t->data)->sweep(); }, kSweepMs, kSweepMs);
-    uv_unref(reinterpret_cast<uv_handle_t*>(sweeper_));
+    sweep_timer_.start_repeating(kSweepInterval);
+    sweep_timer_.unref();
 }
 
 HttpServer::~HttpServer() {
     close_all();
-    while (!listeners_.empty()) listeners_.begin()->first->close();
-    uv_timer_stop(sweeper_);
-    uv_close(reinterpret_cast<uv_handle_t*>(sweeper_),
-             [](uv_handle_t* h) { delete reinterpret_cast<uv_timer_t*>(h); });
+    while (!listeners_.empty()) listeners_.begin()->second.listener->close();
 }
 
-Address HttpServer::listen(const Address& address, ProtocolKind speaks) {
-    auto* const listener = new Listener(loop_, *this, address);
-    listeners_.emplace(listener, speaks);
-    return listener->address();
+Address HttpServer::listen(const Address& address, ProtocolKind protocol) {
+    auto listener = std::make_unique<Listener>(loop_, static_cast<Listener::Handler&>(*this), address);
+    Address bound = listener->address();
+    const Listener* const key = listener.get();
+    listeners_.emplace(key, ListenerEntry{std::move(listener), protocol});
+    return bound;
 }
 
 void HttpServer::stop_listening() {
-    for (const auto& [listener, speaks] : std::map(listeners_)) listener->stop();
+    std::vector<Listener*> listeners;
+    for (const auto& [key, entry] : listeners_) listeners.push_back(entry.listener.get());
+    for (Listener* listener : listeners) listener->stop();  // may remove it from listeners_
 }
 
 void HttpServer::on_accept_error(int error) { handler_.on_accept_failed(error); }
 
 void HttpServer::on_accepted(Listener& listener, int descriptor) {
-    const bool wants_tls = listeners_.at(&listener) == ProtocolKind::tls;
+    const bool wants_tls = listeners_.at(&listener).protocol == ProtocolKind::tls;
     if (wants_tls && tls_ == nullptr) {
         ::close(descriptor);
         return;
@@ -177,11 +175,11 @@
     if (n == 0) return Unread::end;
     // Guards against a look that failed itself and is taken for what it would have found: the loop's read
     // will tell.
-    switch (meaning_of(SystemCall::look, errno)) {
-        case FaultMeaning::nothing_yet: return Unread::nothing;
-        case FaultMeaning::peer: return Unread::end;
-        case FaultMeaning::again:
-        case FaultMeaning::shortage: break;
+    switch (meaning_of(SystemCall::peek, errno)) {
+        case ErrorMeaning::nothing_yet: return Unread::nothing;
+        case ErrorMeaning::peer: return Unread::end;
+        case ErrorMeaning::again:
+        case ErrorMeaning::shortage: break;
     }
     return Unread::unknown;
 }
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -22,6 +22,7 @@
 #include "http/message.hpp"
 #include "net/idle_connections.hpp"
 #include "net/listener.hpp"
+#include "net/loop_clock.hpp"
 #include "net/tls/filter.hpp"
 
 namespace chalksail::net {
@@ -62,9 +63,6 @@
 // "read_failed (ETIMEDOUT)"
 [[nodiscard]] std::string describe(const ConnectionEnd& end);
 
-// A monotonic clock: the loop's, in nanoseconds.
-[[nodiscard]] inline Time uv_now_time() { return Time(Duration(static_cast<std::int64_t>(uv_hrtime()))); }
-
 class HttpServer : Listener::Handler {
 public:
     // A connection with the request in hand; the number never comes back.
@@ -91,7 +89,7 @@
     enum class ProtocolKind { clear, tls };
     // Returns the address in use: port 0 asks for a free one. May be called for more than one address. At one
     // that speaks TLS nothing is accepted before set_tls().
-    Address listen(const Address& address, ProtocolKind speaks = ProtocolKind::clear);
+    Address listen(const Address& address, ProtocolKind protocol = ProtocolKind::clear);
     // Takes what has reached this machine, and listens no longer.
     void stop_listening();
     [[nodiscard]] bool listening() const { return !listeners_.empty(); }
@@ -162,8 +160,12 @@
     Handler& handler_;
     ServerLimits limits_;
     std::shared_ptr<tls::Context> tls_;
-    std::map<Listener*, ProtocolKind> listeners_;
-    uv_timer_t* sweeper_ = nullptr;
+    struct ListenerEntry {
+        std::unique_ptr<Listener> listener;
+        ProtocolKind protocol = ProtocolKind::clear;
+    };
+    std::map<const Listener*, ListenerEntry> listeners_;
+    Timer sweep_timer_;
     std::vector<char> read_buffer_;
     std::unordered_map<std::uint64_t, Connection*> connections_;
     std::unordered_map<Peer, Connection*> in_hand_;
--- a/src/net/system_error.cpp
+++ b/src/net/system_error.cpp
@@ -13,7 +13,7 @@
 }
 
 // Linux hands errors that are pending on the new connection to accept(): they end that one, not the listener.
-FaultMeaning of_accept(int error) {
+ErrorMeaning of_accept(int error) {
     switch (error) {
         case EINTR:
         case ECONNABORTED:
@@ -26,41 +26,41 @@
         case ENETDOWN:
         case EOPNOTSUPP:
         case ETIMEDOUT:
-        case EPERM: return FaultMeaning::again;
-        default: return FaultMeaning::shortage;
+        case EPERM: return ErrorMeaning::again;
+        default: return ErrorMeaning::shortage;
     }
 }
 
 // In the call itself nothing has been heard of the other side: no port, no route or no memory here. EALREADY
 // and EINPROGRESS stand behind a call that was interrupted.
-FaultMeaning of_connect(int error) {
+ErrorMeaning of_connect(int error) {
     switch (error) {
-        case EINTR: return FaultMeaning::again;
+        case EINTR: return ErrorMeaning::again;
         case EADDRNOTAVAIL:
         case EADDRINUSE:
         case ENETUNREACH:
         case ENETDOWN:
         case EALREADY:
-        case EINPROGRESS: return FaultMeaning::shortage;
+        case EINPROGRESS: return ErrorMeaning::shortage;
         default:
-            return lacks_resources(error) || would_block(error) ? FaultMeaning::shortage : FaultMeaning::peer;
+            return lacks_resources(error) || would_block(error) ? ErrorMeaning::shortage : ErrorMeaning::peer;
     }
 }
 
 }  // namespace
 
-FaultMeaning meaning_of(SystemCall call, int error) {
+ErrorMeaning meaning_of(SystemCall call, int error) {
     error = std::abs(error);
     switch (call) {
-        case SystemCall::accept: return would_block(error) ? FaultMeaning::nothing_yet : of_accept(error);
-        case SystemCall::socket: return lacks_resources(error) ? FaultMeaning::shortage : FaultMeaning::peer;
+        case SystemCall::accept: return would_block(error) ? ErrorMeaning::nothing_yet : of_accept(error);
+        case SystemCall::socket: return lacks_resources(error) ? ErrorMeaning::shortage : ErrorMeaning::peer;
         case SystemCall::connect: return of_connect(error);
-        case SystemCall::look:
-            if (would_block(error)) return FaultMeaning::nothing_yet;
-            if (error == EINTR) return FaultMeaning::again;
-            return lacks_resources(error) ? FaultMeaning::shortage : FaultMeaning::peer;
+        case SystemCall::peek:
+            if (would_block(error)) return ErrorMeaning::nothing_yet;
+            if (error == EINTR) return ErrorMeaning::again;
+            return lacks_resources(error) ? ErrorMeaning::shortage : ErrorMeaning::peer;
     }
-    return FaultMeaning::peer;
+    return ErrorMeaning::peer;
 }
 
 }  // namespace chalksail::net
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -9,7 +9,6 @@
 #include <utility>
 
 #include "base/backoff.hpp"
-#include "net/http_server.hpp"
 #include "net/system_error.hpp"
 
 namespace chalksail::net {
@@ -19,7 +18,8 @@
 namespace {
 
 constexpr std::size_t kPoolReadBuffer = 64 * 1024;
-constexpr std::uint64_t kPoolSweepMs = 10;  // dial time-outs are tens of milliseconds and more
+constexpr std::chrono::milliseconds kPoolSweepInterval{
+    10};  // dial time-outs are tens of milliseconds and more
 constexpr std::uint64_t kSweepsToIdle = 25;
 // Between tries of a dial for which this machine lacks something: the sweep looks when it is over.
 constexpr Duration kRedialLeast = std::chrono::milliseconds(5);
@@ -69,23 +69,14 @@
     : loop_(loop),
       handler_(handler),
       limits_(limits),
+      sweep_timer_(loop, [this] { sweep(); }),
       read_buffer_(kPoolReadBuffer),
       gate_(limits.handshakes) {
-    sweeper_ = new uv_timer_t;
-    uv_timer_init(&loop_, sweeper_);
-    sweeper_->data = this;
-    uv_timer_start(
-        sweeper_, [](uv_timer_t* t) { static_cast<UpstreamPool*>(t->data)->sweep(); }, kPoolSweepMs,
-        kPoolSweepMs);
-    uv_unref(reinterpret_cast<uv_handle_t*>(sweeper_));
+    sweep_timer_.start_repeating(kPoolSweepInterval);
+    sweep_timer_.unref();
 }
 
-UpstreamPool::~UpstreamPool() {
-    close_all();
-    uv_timer_stop(sweeper_);
-    uv_close(reinterpret_cast<uv_handle_t*>(sweeper_),
-             [](uv_handle_t* h) { delete reinterpret_cast<uv_timer_t*>(h); });
-}
+UpstreamPool::~UpstreamPool() { close_all(); }
 
 void UpstreamPool::start(Call call, const Target& to, std::string_view method, std::string_view target,
                          http::Headers headers, std::string_view body, double worth, bool beyond_limit) {
@@ -130,7 +121,7 @@
         char byte = 0;
         const bool quiet = uv_fileno(reinterpret_cast<uv_handle_t*>(&c->socket), &fd) == 0 &&
                            recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 &&
-                           meaning_of(SystemCall::look, errno) != FaultMeaning::peer;
+                           meaning_of(SystemCall::peek, errno) != ErrorMeaning::peer;
         if (quiet && uv_now_time() - c->since <= longest) {
             std::erase(idle, c);
             return c;
@@ -189,7 +180,7 @@
                                          if (connection.state == Connection::State::dialling)
                                              connection.pool->connected(connection, status);
                                      });
-    c.short_of_resources = error != 0 && meaning_of(SystemCall::connect, error) != FaultMeaning::peer;
+    c.short_of_resources = error != 0 && meaning_of(SystemCall::connect, error) != ErrorMeaning::peer;
     if (error == 0) return;
     if (!c.short_of_resources) return connected(c, error);
     counts_.dials_retried += 1;
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -31,6 +31,8 @@
 #include "engine/outcome.hpp"
 #include "http/message.hpp"
 #include "net/idle_limit.hpp"
+#include "net/loop_clock.hpp"
+#include "net/loop_handles.hpp"
 #include "net/tls/filter.hpp"
 #include "net/tls/handshake_limiter.hpp"
 
@@ -174,7 +176,7 @@
     uv_loop_t& loop_;
     Handler& handler_;
     PoolLimits limits_;
-    uv_timer_t* sweeper_ = nullptr;
+    Timer sweep_timer_;
     std::vector<char> read_buffer_;
     std::map<Key, Host> hosts_;
     std::unordered_map<Call, Connection*> busy_;
--- a/tests/net/cache_feed_test.cpp
+++ b/tests/net/cache_feed_test.cpp
@@ -32,7 +32,7 @@
     void begin(std::size_t past, CacheFeed::Limits limits = {}) {
         publisher = std::make_unique<lab::CachePublisher>(past, [this] { return lose; });
         feed = std::make_unique<CacheFeed>(loop, static_cast<CacheFeed::Handler&>(*this), limits);
-        feed->follow("e", publisher->events(), publisher->replay());
+        feed->subscribe("e", publisher->events(), publisher->replay());
     }
     void on_cache_message(const std::string& server, std::uint64_t sequence, std::string payload,
                           bool replayed) override {
@@ -127,14 +127,14 @@
     heard.clear();
     ASSERT_TRUE(joined());
     EXPECT_LT(heard.front(), 1'000'000U);
-    feed->leave("e");
-    EXPECT_EQ(feed->counts().followed, 0U);
+    feed->unsubscribe("e");
+    EXPECT_EQ(feed->counts().subscriptions, 0U);
 }
 
 // A flood is taken a part at a time: the loop's other work never waits for more than that.
 TEST_F(Feeds, FloodIsReadInParts) {
     CacheFeed::Limits limits;
-    limits.each_turn = 16;
+    limits.messages_per_turn = 16;
     limits.queue = 100'000;
     begin(10, limits);
     ASSERT_TRUE(joined());
@@ -149,7 +149,7 @@
 // Large messages are counted by their bytes.
 TEST_F(Feeds, LargeMessagesAreReadOneByOne) {
     CacheFeed::Limits limits;
-    limits.each_turn_bytes = 10'000;
+    limits.bytes_per_turn = 10'000;
     begin(10, limits);
     // Until the connection is there each turn publishes: many may still be on their way.
     ASSERT_TRUE(joined());
@@ -163,12 +163,12 @@
 // One engine's flood must not keep another's word from being read.
 TEST_F(Feeds, FloodOfOneDoesNotKeepOutAnother) {
     CacheFeed::Limits limits;
-    limits.each_turn = 1;
+    limits.messages_per_turn = 1;
     limits.queue = 100'000;
     begin(10, limits);
     ASSERT_TRUE(joined());
     lab::CachePublisher quiet(10, [] { return false; });
-    feed->follow("quiet", quiet.events(), std::nullopt);
+    feed->subscribe("quiet", quiet.events(), std::nullopt);
     ASSERT_TRUE(until([&] { return quiet_heard > 0; }, [&] { quiet.publish({prefix::AllBlocksCleared{}}); }));
     const auto all = heard.size() + 800;
     for (int i = 0; i < 900; ++i) publish();
--- a/tests/net/listener_test.cpp
+++ b/tests/net/listener_test.cpp
@@ -10,6 +10,7 @@
 
 #include <cerrno>
 #include <functional>
+#include <memory>
 #include <string>
 #include <vector>
 
@@ -46,7 +47,8 @@
 protected:
     ListenerTest() {
         uv_loop_init(&loop);
-        listener = new Listener(loop, *this, {"127.0.0.1", 0});
+        listener =
+            std::make_unique<Listener>(loop, static_cast<Listener::Handler&>(*this), Address{"127.0.0.1", 0});
     }
     ~ListenerTest() override {
         accept_fault = nullptr;
@@ -58,7 +60,7 @@
     }
     void on_accepted(Listener&, int descriptor) override { accepted.push_back(descriptor); }
     void on_accept_error(int error) override { errors.push_back(error); }
-    void on_listener_closed(Listener&) override { listener = nullptr; }
+    void on_listener_closed(Listener&) override { listener.reset(); }
 
     void connect_clients(int count) {
         for (int i = 0; i < count; ++i) {
@@ -77,7 +79,7 @@
     }
 
     uv_loop_t loop{};
-    Listener* listener = nullptr;
+    std::unique_ptr<Listener> listener;
     std::vector<int> accepted, clients, errors;
 };
 
