--- a/bench/edge_bench.cpp
+++ b/bench/edge_bench.cpp
@@ -226,7 +226,7 @@
             if (tls == nullptr) continue;
             servers.back()->set_tls(tls);
             tls_addresses.push_back(
-                servers.back()->listen({"127.0.0.1", 0}, net::HttpServer::ProtocolKind::tls));
+                servers.back()->listen({"127.0.0.1", 0}, net::HttpServer::Transport::tls));
         }
     }
     void on_request(net::HttpServer::Peer, http::Request) override {}
--- a/bench/tls_bench.cpp
+++ b/bench/tls_bench.cpp
@@ -131,7 +131,7 @@
           pool(l, static_cast<net::UpstreamPool::Handler&>(*this), {}) {
         server.set_tls(std::move(context));
         clear = server.listen({"127.0.0.1", 0});
-        tls = server.listen({"127.0.0.1", 0}, net::HttpServer::ProtocolKind::tls);
+        tls = server.listen({"127.0.0.1", 0}, net::HttpServer::Transport::tls);
     }
     void on_request(net::HttpServer::Peer p, http::Request) override {
         peer = p;
--- a/lab/sockets/engine_host.cpp
+++ b/lab/sockets/engine_host.cpp
@@ -38,7 +38,7 @@
     else if (caches_ != nullptr) caches_->start();
     if (fleet_.tls() == nullptr) return;
     server_->set_tls(fleet_.tls()->start(spec().name));
-    tls_address_ = server_->listen(tls_address_, net::HttpServer::ProtocolKind::tls);
+    tls_address_ = server_->listen(tls_address_, net::HttpServer::Transport::tls);
 }
 
 void EngineHost::show(std::shared_ptr<net::tls::Context> context) {
--- a/src/net/edge_server.cpp
+++ b/src/net/edge_server.cpp
@@ -95,7 +95,7 @@
     const auto tls = certificates_.listener_context();
     if (tls) clients_->set_tls(tls);
     address_ = clients_->listen(settings_.listen,
-                                tls ? HttpServer::ProtocolKind::tls : HttpServer::ProtocolKind::clear);
+                                tls ? HttpServer::Transport::tls : HttpServer::Transport::plaintext);
     if (admin_) admin_address_ = admin_->listen(*settings_.admin);
 }
 
--- a/src/net/edge_server_limits.cpp
+++ b/src/net/edge_server_limits.cpp
@@ -38,8 +38,8 @@
     out.connections = static_cast<std::size_t>(limits.server_connections);
     out.dial_timeout = settings.module.dial_timeout;
     out.idle = limits.server_idle;
-    out.rest = limits.server_preferred_idle;
-    out.settle = limits.release_timeout;
+    out.preferred_idle = limits.server_preferred_idle;
+    out.completion_timeout = limits.release_timeout;
     out.handshakes = {static_cast<std::size_t>(limits.handshakes),
                       static_cast<std::size_t>(limits.handshakes_per_server)};
     return out;
--- a/src/net/effect_executor.cpp
+++ b/src/net/effect_executor.cpp
@@ -22,7 +22,9 @@
     resources_.clients.stream(effect.client.value, effect.bytes);
 }
 void EffectExecutor::apply(core::StreamEnd& effect) { resources_.clients.end_stream(effect.client.value); }
-void EffectExecutor::apply(core::AbortStream& effect) { resources_.clients.cut(effect.client.value); }
+void EffectExecutor::apply(core::AbortStream& effect) {
+    resources_.clients.abort_stream(effect.client.value);
+}
 
 // ---- calls to servers ----
 
@@ -35,10 +37,10 @@
                              effect.kind == core::CallKind::release);
 }
 void EffectExecutor::apply(core::CallAbort& effect) { resources_.servers.cancel(effect.call.value); }
-void EffectExecutor::apply(core::HalfCloseCall& effect) { resources_.servers.end_sending(effect.call.value); }
-void EffectExecutor::apply(core::CompleteCall& effect) { resources_.servers.settle(effect.call.value); }
+void EffectExecutor::apply(core::HalfCloseCall& effect) { resources_.servers.half_close(effect.call.value); }
+void EffectExecutor::apply(core::CompleteCall& effect) { resources_.servers.complete(effect.call.value); }
 void EffectExecutor::apply(core::SetCallPaused& effect) {
-    resources_.servers.flow(effect.call.value, effect.paused);
+    resources_.servers.set_paused(effect.call.value, effect.paused);
 }
 
 // ---- cache events ----
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -8,6 +8,7 @@
 #include <string>
 
 #include "net/loop_clock.hpp"
+#include "net/socket_address.hpp"
 #include "net/system_error.hpp"
 
 namespace chalksail::net {
@@ -23,24 +24,6 @@
 // How long stop() waits for a shortage to end.
 constexpr Duration kStopTimeout = std::chrono::milliseconds(500);
 
-struct SocketAddress {
-    sockaddr_storage storage{};
-    socklen_t size = 0;
-};
-
-SocketAddress to_socket_address(const Address& address) {
-    SocketAddress out;
-    if (uv_ip4_addr(address.host.c_str(), address.port, reinterpret_cast<sockaddr_in*>(&out.storage)) == 0) {
-        out.size = sizeof(sockaddr_in);
-    } else if (uv_ip6_addr(address.host.c_str(), address.port,
-                           reinterpret_cast<sockaddr_in6*>(&out.storage)) == 0) {
-        out.size = sizeof(sockaddr_in6);
-    } else {
-        throw std::runtime_error("no IP address: " + address.host);
-    }
-    return out;
-}
-
 std::uint16_t bound_port(int socket) {
     sockaddr_storage bound{};
     socklen_t size = sizeof bound;
@@ -76,12 +59,12 @@
 }
 
 int Listener::try_open(const Address& address) {
-    const auto where = to_socket_address(address);
-    socket_.reset(::socket(where.storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+    const auto to = to_socket_address(address);
+    if (!to) throw std::runtime_error("no IP address: " + address.host);
+    socket_.reset(::socket(to->storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     const int on = 1;
     if (socket_.valid() && setsockopt(socket_.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) == 0 &&
-        bind(socket_.get(), reinterpret_cast<const sockaddr*>(&where.storage), where.size) == 0 &&
-        listen(socket_.get(), kBacklog) == 0) {
+        bind(socket_.get(), to->get(), to->size) == 0 && listen(socket_.get(), kBacklog) == 0) {
         address_.port = bound_port(socket_.get());
         return 0;
     }
--- a/tests/net/pool_crossing_test.cpp
+++ b/tests/net/pool_crossing_test.cpp
@@ -171,7 +171,7 @@
     keep(peer);
     call(peer, "body");
     until([&] { return written; });
-    pool->end_sending(last);
+    pool->half_close(last);
     drain(peer);
     char byte = 0;
     EXPECT_EQ(recv(peer.one, &byte, 1, 0), 0);  // the server sees the end
--- a/tests/net/tls_socket_test.cpp
+++ b/tests/net/tls_socket_test.cpp
@@ -14,7 +14,7 @@
     TlsEngine(uv_loop_t& loop, std::shared_ptr<tls::Context> context)
         : server(loop, static_cast<HttpServer::Handler&>(*this), {}) {
         server.set_tls(std::move(context));
-        address = server.listen({"127.0.0.1", 0}, HttpServer::ProtocolKind::tls);
+        address = server.listen({"127.0.0.1", 0}, HttpServer::Transport::tls);
     }
     HttpServer server;
     Address address;
