--- a/apps/edge/main.cpp
+++ b/apps/edge/main.cpp
@@ -81,73 +81,64 @@
     using Reload = std::function<tl::expected<void, std::string>()>;
 
     explicit Signals(chalksail::observe::Log& log) : log_(log) {}
-    void serve(chalksail::net::EdgeServer& shell, Reload reload) {
-        shell_ = &shell;
+    void serve(chalksail::net::EdgeServer& server, Reload reload) {
+        server_ = &server;
         reload_ = std::move(reload);
     }
     void start(uv_loop_t& loop) {
-        for (auto [handle, number] : {std::pair{&term_, SIGTERM}, std::pair{&interrupt_, SIGINT}}) {
-            uv_signal_init(&loop, handle);
-            handle->data = this;
-            uv_signal_start(
-                handle, [](uv_signal_t* s, int) { static_cast<Signals*>(s->data)->shell_->drain(); }, number);
-            uv_unref(reinterpret_cast<uv_handle_t*>(handle));
-        }
-        uv_timer_init(&loop, &retry_);
-        retry_.data = this;
-        uv_unref(reinterpret_cast<uv_handle_t*>(&retry_));
-        uv_signal_init(&loop, &hang_up_);
-        hang_up_.data = this;
-        uv_signal_start(
-            &hang_up_, [](uv_signal_t* s, int) { static_cast<Signals*>(s->data)->on_hang_up(); }, SIGHUP);
-        uv_unref(reinterpret_cast<uv_handle_t*>(&hang_up_));
+        terminate_.emplace(loop, SIGTERM, [this] { server_->drain(); });
+        terminate_->unref();
+        interrupt_.emplace(loop, SIGINT, [this] { server_->drain(); });
+        interrupt_->unref();
+        retry_timer_.emplace(loop, [this] { try_reload(); });
+        retry_timer_->unref();
+        reload_signal_.emplace(loop, SIGHUP, [this] { on_reload_signal(); });
+        reload_signal_->unref();
     }
+    // Closes the handles: the loop has to run once more.
     void stop() {
-        uv_close(reinterpret_cast<uv_handle_t*>(&retry_), nullptr);
-        uv_close(reinterpret_cast<uv_handle_t*>(&hang_up_), nullptr);
-        uv_close(reinterpret_cast<uv_handle_t*>(&term_), nullptr);
-        uv_close(reinterpret_cast<uv_handle_t*>(&interrupt_), nullptr);
+        retry_timer_.reset();
+        reload_signal_.reset();
+        terminate_.reset();
+        interrupt_.reset();
     }
 
 private:
     static constexpr chalksail::Duration kRetryLeast = std::chrono::milliseconds(10);
     static constexpr chalksail::Duration kRetryMost = std::chrono::milliseconds(100);
-    // What a new configuration tells counts some seconds after its signal: by then it has been read, or is
-    // bad.
-    static constexpr chalksail::Duration kRetryPatience = std::chrono::seconds(3);
+    // A new configuration is in force some seconds after its signal: by then it has been read, or is bad.
+    static constexpr chalksail::Duration kRetryTimeout = std::chrono::seconds(3);
 
-    void on_hang_up() {
-        retry_until_ = chalksail::net::uv_now_time() + kRetryPatience;
+    void on_reload_signal() {
+        retry_until_ = chalksail::net::uv_now_time() + kRetryTimeout;
         backoff_.reset();
-        told_.clear();
+        logged_error_.clear();
         try_reload();
     }
     // Guards against a reload that is given up for a file that is just being replaced or written, or for a
     // moment without a descriptor.
     void try_reload() {
-        // The shell may have ended in this turn: what a reload would reach is gone then.
-        if (shell_->finished()) return;
-        const auto taken = reload_();
-        if (taken) return;
-        if (taken.error() != told_) log_.error("configuration", taken.error() + "; the old one stays");
-        told_ = taken.error();
+        // The server may have ended in this turn, and what a reload would reach with it.
+        if (server_->finished()) return;
+        const auto reloaded = reload_();
+        if (reloaded) return;
+        if (reloaded.error() != logged_error_)
+            log_.error("configuration", reloaded.error() + "; the old one stays");
+        logged_error_ = reloaded.error();
         if (chalksail::net::uv_now_time() >= retry_until_) return;
-        const auto pause = std::chrono::duration_cast<std::chrono::milliseconds>(backoff_.next()).count();
-        uv_timer_start(
-            &retry_, [](uv_timer_t* t) { static_cast<Signals*>(t->data)->try_reload(); },
-            static_cast<std::uint64_t>(pause), 0);
+        retry_timer_->start_once(std::chrono::duration_cast<std::chrono::milliseconds>(backoff_.next()));
     }
 
     chalksail::observe::Log& log_;
-    chalksail::net::EdgeServer* shell_ = nullptr;
+    chalksail::net::EdgeServer* server_ = nullptr;
     Reload reload_;
-    uv_signal_t term_{};
-    uv_signal_t interrupt_{};
-    uv_signal_t hang_up_{};
-    uv_timer_t retry_{};
+    std::optional<chalksail::net::SignalHandle> terminate_;
+    std::optional<chalksail::net::SignalHandle> interrupt_;
+    std::optional<chalksail::net::SignalHandle> reload_signal_;
+    std::optional<chalksail::net::Timer> retry_timer_;
     chalksail::Backoff backoff_{kRetryLeast, kRetryMost};
     chalksail::Time retry_until_{};
-    std::string told_;  // the error last logged of this reload
+    std::string logged_error_;  // of this reload, the last one logged
 };
 
 // Serves until a signal ends it. `list` and `reload` may need the loop, and come of it.
@@ -180,15 +171,15 @@
     signals.start(loop);
     try {
         Origin origin = origin_of(loop, log);
-        chalksail::net::EdgeServer shell(loop, settings, log, std::move(origin.list));
-        const auto reload_tls = [&shell]() -> tl::expected<void, std::string> {
-            shell.reload_tls();
+        chalksail::net::EdgeServer server(loop, settings, log, std::move(origin.list));
+        const auto reload_tls = [&server]() -> tl::expected<void, std::string> {
+            server.reload_tls();
             return {};
         };
-        signals.serve(shell, origin.reload ? std::move(origin.reload) : reload_tls);
+        signals.serve(server, origin.reload ? std::move(origin.reload) : reload_tls);
         chalksail::json::ObjectWriter line;
-        line.text("event", "listening").text("address", format_address(shell.address()));
-        if (settings.admin) line.text("admin", format_address(shell.admin_address()));
+        line.text("event", "listening").text("address", format_address(server.address()));
+        if (settings.admin) line.text("admin", format_address(server.admin_address()));
         std::cout << line.done() << std::endl;
         uv_run(&loop, UV_RUN_DEFAULT);
     } catch (const std::exception& error) {
@@ -242,19 +233,20 @@
     }
     const chalksail::platform::Environment environment{variable("EDGE_NAME"), variable("EDGE_LISTEN"),
                                                        variable("EDGE_DISCOVERY")};
-    auto told = read_configuration(file, environment);
+    auto configuration = read_configuration(file, environment);
     // The same for a file that can't be opened at that moment.
-    for (int tries = 0; !told && told.error() == kUnreadable && tries < kStartTries; ++tries) {
+    for (int tries = 0; !configuration && configuration.error() == kUnreadable && tries < kStartTries;
+         ++tries) {
         uv_sleep(kStartPauseMs);
-        told = read_configuration(file, environment);
+        configuration = read_configuration(file, environment);
     }
-    if (!told) {
-        std::cerr << file << ": " << told.error() << '\n';
+    if (!configuration) {
+        std::cerr << file << ": " << configuration.error() << '\n';
         return 1;
     }
-    const auto settings = chalksail::core::platform_settings(*told);
+    const auto settings = chalksail::core::platform_settings(*configuration);
     return serve(settings, [&](uv_loop_t& loop, chalksail::observe::Log& log) {
-        const auto& l = told->limits;
+        const auto& l = configuration->limits;
         log.info("configuration",
                  "gateway " + std::to_string(settings.module.gateway) + " of " +
                      std::to_string(settings.module.gateways) + "; " + std::to_string(l.memory_mb) + " MB, " +
@@ -262,8 +254,8 @@
                      " descriptors: " + std::to_string(settings.limits.connections) + " for clients, " +
                      std::to_string(settings.limits.server_connections) + " for servers; streams " +
                      (settings.module.stream_resumption_enabled ? "can" : "can't") + " be resumed");
-        auto watch = std::make_unique<chalksail::net::DiscoveryWatch>(loop, log, told->discovery,
-                                                                      std::move(told->known));
+        auto watch = std::make_unique<chalksail::net::DiscoveryWatch>(loop, log, configuration->discovery,
+                                                                      std::move(configuration->known));
         auto* const list = watch.get();
         const auto reload = [list, file]() -> tl::expected<void, std::string> {
             const auto now = read_configuration(file, {});
--- a/apps/edge/tls_probe.cpp
+++ b/apps/edge/tls_probe.cpp
@@ -39,7 +39,7 @@
 }
 
 // One handshake, and what follows it at once. Says on standard output what was seen.
-bool shake(int fd, tls::Filter& filter) {
+bool handshake(int fd, tls::Filter& filter) {
     auto step = filter.start();
     for (;;) {
         for (std::size_t sent = 0; sent < step.to_peer.size();) {
@@ -89,7 +89,7 @@
         }
         const auto filter =
             tls::Filter::client(files.context(), expected, &files.sessions(), std::time(nullptr));
-        const bool good = shake(fd, *filter);
+        const bool good = handshake(fd, *filter);
         close(fd);
         const auto facts = filter->facts();
         for (std::size_t i = 0; i < facts.chain.size(); ++i)
--- a/bench/edge_bench.cpp
+++ b/bench/edge_bench.cpp
@@ -315,7 +315,7 @@
     void send(net::UpstreamPool::Call call, const std::string& what) {
         http::Headers headers;
         headers.add("Content-Type", "application/json");
-        pool.start(call, target, "POST", engine::kChatPath, std::move(headers), what);
+        pool.start(call, target, {"POST", std::string(engine::kChatPath), std::move(headers), what});
     }
     void top_up() {
         while (asked.size() < keep) ask();
--- a/bench/flood_bench.cpp
+++ b/bench/flood_bench.cpp
@@ -195,10 +195,10 @@
     for (int i = 1; i <= kStreams; ++i) {
         http::Headers headers;
         headers.add("Content-Type", "application/json");
-        clients.pool.start(static_cast<net::UpstreamPool::Call>(i), edge.address(), "POST",
-                           "/v1/chat/completions", headers,
-                           R"({"model":"m","stream":true,"messages":[{"role":"user","content":"hello )" +
-                               std::to_string(i) + "\"}]}");
+        clients.pool.start(static_cast<net::UpstreamPool::Call>(i), edge.address(),
+                           {"POST", "/v1/chat/completions", headers,
+                            R"({"model":"m","stream":true,"messages":[{"role":"user","content":"hello )" +
+                                std::to_string(i) + "\"}]}"});
     }
     uv_timer_t timer;
     uv_timer_init(&loop, &timer);
@@ -218,7 +218,7 @@
     const auto flood = run(kPhase);
     const std::string events = line(up[0]);
     // What of it was heard: a flood that is lost on the way costs nothing.
-    clients.pool.start(Clients::kMetrics, edge.admin_address(), "GET", "/metrics", {}, "");
+    clients.pool.start(Clients::kMetrics, edge.admin_address(), {"GET", "/metrics", {}, {}});
     (void)run(500'000'000ULL);
     const auto told = clients.metrics.find("\nchalksail_prefix_messages{");
     const auto value = told == std::string::npos ? told : clients.metrics.find("} ", told);
--- a/bench/tls_bench.cpp
+++ b/bench/tls_bench.cpp
@@ -153,7 +153,7 @@
         peer = 0;
         const std::string part(piece, 'x');
         const double begin = cpu_us();
-        pool.start(++last, to, "GET", "/", {}, "");
+        pool.start(++last, to, {"GET", "/", {}, {}});
         std::size_t sent = 0;
         while (!done) {
             uv_run(&loop, UV_RUN_NOWAIT);
--- a/lab/sockets/load.cpp
+++ b/lab/sockets/load.cpp
@@ -41,7 +41,7 @@
     p->gateway = name;
     p->ask = std::move(ask);
     Pending& kept = *calls_.emplace(call, std::move(p)).first->second;
-    pool_.start(call, address, "POST", "/v1/chat/completions", kept.ask.headers, kept.ask.body);
+    pool_.start(call, address, {"POST", "/v1/chat/completions", kept.ask.headers, kept.ask.body});
 }
 
 void Load::on_head(net::UpstreamPool::Call call, int status, http::Headers headers) {
--- a/lab/sockets/scenario_run.cpp
+++ b/lab/sockets/scenario_run.cpp
@@ -293,9 +293,10 @@
     headers.add("Content-Type", "application/json");
     const net::UpstreamPool::Call call = ++last_push_;
     pushes_[call] = {e.name, std::move(told)};
-    admin_->start(call, e.admin, "POST", "/servers", std::move(headers),
-                  std::string(R"({"scope":")") + (complete ? "complete" : "changes") + R"(","servers":[)" +
-                      items + "]}");
+    admin_->start(call, e.admin,
+                  {"POST", "/servers", std::move(headers),
+                   std::string(R"({"scope":")") + (complete ? "complete" : "changes") + R"(","servers":[)" +
+                       items + "]}"});
 }
 
 void ScenarioRun::on_head(net::UpstreamPool::Call call, int status, http::Headers) {
@@ -313,7 +314,7 @@
         if (!e->running || !e->tls) continue;
         const net::UpstreamPool::Call call = ++last_push_;
         pages_[call] = {e->name, ""};
-        admin_->start(call, e->admin, "GET", "/metrics", {}, "");
+        admin_->start(call, e->admin, {"GET", "/metrics", {}, {}});
     }
 }
 void ScenarioRun::take_page(const std::string& edge, const std::string& page) {
--- a/src/net/admin.cpp
+++ b/src/net/admin.cpp
@@ -1,69 +1,149 @@
 #include "net/admin.hpp"
 
-#include <cmath>
+#include <optional>
+#include <utility>
 
 #include "base/json.hpp"
 
 namespace chalksail::net {
 
+namespace {
+
+constexpr std::size_t kMaxNameBytes = 256;
+constexpr double kMaxWeight = 1e6;
+constexpr std::int64_t kMaxUnixMilliseconds = 4'000'000'000'000;  // in the year 2096
+
+using Status = tl::expected<void, std::string>;
+
+Status error(std::string text) { return tl::unexpected(std::move(text)); }
+
+// Reads one member of the list into an endpoint.
+class EndpointParser {
+public:
+    // `names`: those of the members before it.
+    EndpointParser(const rapidjson::Value& item, const std::set<std::string>& kinds, ClockOffset offset,
+                   std::set<std::string>& names)
+        : item_(item), kinds_(kinds), offset_(offset), names_(names) {}
+
+    tl::expected<membership::EndpointConfig, std::string> parse() {
+        for (const auto step :
+             {&EndpointParser::read_name, &EndpointParser::read_state, &EndpointParser::read_placement,
+              &EndpointParser::read_weight, &EndpointParser::read_start, &EndpointParser::read_addresses})
+            if (const auto done = (this->*step)(); !done) return tl::unexpected(done.error());
+        return out_;
+    }
+
+private:
+    [[nodiscard]] const rapidjson::Value* find(const char* key) const { return json::find(item_, key); }
+    [[nodiscard]] std::string_view text(const char* key) const { return json::text(find(key)); }
+
+    Status read_name() {
+        const auto name = text("name");
+        if (name.empty() || name.size() > kMaxNameBytes) return error("'name' must be a string");
+        out_.endpoint.id = {std::string(name)};
+        if (!names_.insert(out_.endpoint.id.value).second)
+            return error("'" + out_.endpoint.id.value + "' is named twice");
+        return {};
+    }
+
+    Status read_state() {
+        const auto state = text("state");
+        if (state.empty() || state == "up") out_.endpoint.state = EndpointState::up;
+        else if (state == "draining") out_.endpoint.state = EndpointState::draining;
+        else if (state == "removed") out_.endpoint.state = EndpointState::removed;
+        else return error("'state' must be up, draining or removed");
+        return {};
+    }
+
+    Status read_placement() {
+        out_.endpoint.kind = text("kind");
+        if (!kinds_.contains(out_.endpoint.kind)) return error("unknown kind '" + out_.endpoint.kind + "'");
+        out_.endpoint.zone = text("zone");
+        const auto* cell = find("cell");
+        if (cell == nullptr) return {};
+        if (!cell->IsInt64()) return error("'cell' must be a whole number");
+        out_.endpoint.cell = cell->GetInt64();
+        return {};
+    }
+
+    Status read_weight() {
+        const auto* weight = find("weight");
+        if (weight == nullptr) return {};
+        if (!weight->IsNumber() || !(weight->GetDouble() >= 0 && weight->GetDouble() <= kMaxWeight))
+            return error("'weight' must be a number from 0 to 1000000");
+        out_.endpoint.weight = weight->GetDouble();
+        return {};
+    }
+
+    Status read_start() {
+        const auto* started = find("started_unix_ms");
+        if (started == nullptr) return {};
+        if (!started->IsInt64() || started->GetInt64() < 0 || started->GetInt64() > kMaxUnixMilliseconds)
+            return error("'started_unix_ms' must be milliseconds since 1970");
+        out_.endpoint.started_at =
+            Time(Duration(std::chrono::milliseconds(started->GetInt64())) + offset_.value);
+        return {};
+    }
+
+    Status read_addresses() {
+        const auto address = parse_address(text("address"));
+        if (!address || address->port == 0) return error("'address' must be IP:PORT");
+        out_.address = *address;
+        if (auto read = read_optional_address("events", out_.events); !read) return read;
+        return read_optional_address("replay", out_.replay);
+    }
+
+    Status read_optional_address(const char* key, std::optional<Address>& address) const {
+        if (text(key).empty()) return {};
+        address = parse_address(text(key));
+        if (!address || address->port == 0) return error(std::string("'") + key + "' must be IP:PORT");
+        return {};
+    }
+
+    const rapidjson::Value& item_;
+    const std::set<std::string>& kinds_;
+    ClockOffset offset_;
+    std::set<std::string>& names_;
+    membership::EndpointConfig out_;
+};
+
+tl::expected<EndpointUpdateKind, std::string> parse_scope(std::string_view scope) {
+    if (scope == "complete") return EndpointUpdateKind::snapshot;
+    if (scope == "changes") return EndpointUpdateKind::delta;
+    return tl::unexpected(std::string("'scope' must be \"complete\" or \"changes\""));
+}
+
+std::string_view state_word(EndpointState state) {
+    switch (state) {
+        case EndpointState::up: return "up";
+        case EndpointState::draining: return "draining";
+        case EndpointState::removed: break;
+    }
+    return "removed";
+}
+
+}  // namespace
+
 tl::expected<membership::EndpointList, std::string> parse_server_list(std::string_view body,
                                                                       const std::set<std::string>& kinds,
                                                                       ClockOffset offset) {
-    json::Document doc;
-    if (!json::parse(body, doc) || !doc.IsObject())
+    json::Document document;
+    if (!json::parse(body, document) || !document.IsObject())
         return tl::unexpected(std::string("one JSON object wanted"));
-    membership::EndpointList out;
-    const auto scope = json::text(json::find(doc, "scope"));
-    if (scope == "complete") out.kind = EndpointUpdateKind::snapshot;
-    else if (scope == "changes") out.kind = EndpointUpdateKind::delta;
-    else return tl::unexpected(std::string("'scope' must be \"complete\" or \"changes\""));
-    const auto* list = json::find(doc, "servers");
+    const auto kind = parse_scope(json::text(json::find(document, "scope")));
+    if (!kind) return tl::unexpected(kind.error());
+    const auto* list = json::find(document, "servers");
     if (list == nullptr || !list->IsArray()) return tl::unexpected(std::string("'servers' must be an array"));
-    std::set<std::string_view> names;
+    membership::EndpointList out;
+    out.kind = *kind;
+    std::set<std::string> names;
     for (rapidjson::SizeType i = 0; i < list->Size(); ++i) {
+        const auto place = "servers[" + std::to_string(i) + "]: ";
         const auto& item = (*list)[i];
-        const auto bad = [&](const std::string& what) {
-            return tl::unexpected("servers[" + std::to_string(i) + "]: " + what);
-        };
-        if (!item.IsObject()) return bad("an object wanted");
-        membership::EndpointConfig s;
-        const auto name = json::text(json::find(item, "name"));
-        if (name.empty() || name.size() > 256) return bad("'name' must be a string");
-        if (!names.insert(name).second) return bad("'" + std::string(name) + "' is named twice");
-        s.endpoint.id = {std::string(name)};
-        const auto state = json::text(json::find(item, "state"));
-        if (state.empty() || state == "up") s.endpoint.state = EndpointState::up;
-        else if (state == "draining") s.endpoint.state = EndpointState::draining;
-        else if (state == "removed") s.endpoint.state = EndpointState::removed;
-        else return bad("'state' must be up, draining or removed");
-        s.endpoint.kind = json::text(json::find(item, "kind"));
-        if (!kinds.contains(s.endpoint.kind)) return bad("unknown kind '" + s.endpoint.kind + "'");
-        s.endpoint.zone = json::text(json::find(item, "zone"));
-        if (const auto* cell = json::find(item, "cell")) {
-            if (!cell->IsInt64()) return bad("'cell' must be a whole number");
-            s.endpoint.cell = cell->GetInt64();
-        }
-        if (const auto* weight = json::find(item, "weight")) {
-            if (!weight->IsNumber() || !(weight->GetDouble() >= 0 && weight->GetDouble() <= 1e6))
-                return bad("'weight' must be a number from 0 to 1000000");
-            s.endpoint.weight = weight->GetDouble();
-        }
-        if (const auto* started = json::find(item, "started_unix_ms")) {
-            if (!started->IsInt64() || started->GetInt64() < 0 || started->GetInt64() > 4'000'000'000'000)
-                return bad("'started_unix_ms' must be milliseconds since 1970");
-            s.endpoint.started_at =
-                Time(Duration(std::chrono::milliseconds(started->GetInt64())) + offset.value);
-        }
-        const auto address = parse_address(json::text(json::find(item, "address")));
-        if (!address || address->port == 0) return bad("'address' must be IP:PORT");
-        s.address = *address;
-        for (const auto& [key, place] : {std::pair{"events", &s.events}, std::pair{"replay", &s.replay}}) {
-            const auto text = json::text(json::find(item, key));
-            if (text.empty()) continue;
-            *place = parse_address(text);
-            if (!*place || (*place)->port == 0) return bad(std::string("'") + key + "' must be IP:PORT");
-        }
-        out.endpoints.push_back(std::move(s));
+        if (!item.IsObject()) return tl::unexpected(place + "an object wanted");
+        auto config = EndpointParser(item, kinds, offset, names).parse();
+        if (!config) return tl::unexpected(place + config.error());
+        out.endpoints.push_back(std::move(*config));
     }
     return out;
 }
@@ -79,9 +159,7 @@
             .text("zone", s.endpoint.zone)
             .whole("cell", s.endpoint.cell)
             .number("weight", s.endpoint.weight)
-            .text("state", s.endpoint.state == EndpointState::up         ? "up"
-                           : s.endpoint.state == EndpointState::draining ? "draining"
-                                                                         : "removed");
+            .text("state", state_word(s.endpoint.state));
         if (s.events) item.text("events", format_address(*s.events));
         if (s.replay) item.text("replay", format_address(*s.replay));
         if (s.endpoint.started_at != Time{})
--- a/src/net/call_queue.cpp
+++ b/src/net/call_queue.cpp
@@ -5,6 +5,14 @@
 
 namespace chalksail::net {
 
+void add_framing_headers(UpstreamRequest& request, const Target& to) {
+    http::Headers all;
+    all.add("Host", to.tls ? to.tls_name : format_address(to.address));
+    for (auto& header : request.headers.all()) all.add(std::move(header.name), std::move(header.value));
+    if (request.method != "GET") all.add("Content-Length", std::to_string(request.body.size()));
+    request.headers = std::move(all);
+}
+
 void CallQueue::push(const UpstreamKey& key, PendingCall call) {
     servers_by_call_.emplace(call.call, key);
     queues_[key].push_back(std::move(call));
--- a/src/net/call_queue.hpp
+++ b/src/net/call_queue.hpp
@@ -8,6 +8,7 @@
 #include <memory>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <unordered_map>
 #include <vector>
 
@@ -17,17 +18,20 @@
 namespace chalksail::net {
 
 // A request before it is written: it is formatted when its connection is ready.
-struct PendingRequest {
+struct UpstreamRequest {
     std::string method;
     std::string target;
     http::Headers headers;
     std::string body;
 };
 
+// Puts Host before the request's headers, and Content-Length behind them.
+void add_framing_headers(UpstreamRequest& request, const Target& to);
+
 struct PendingCall {
     std::uint64_t call = 0;
-    Time since{};                           // when it was made: its dial time-out runs from then on
-    std::optional<PendingRequest> request;  // nothing: only the connection is wanted
+    Time since{};                            // when it was made: its dial time-out runs from then on
+    std::optional<UpstreamRequest> request;  // nothing: only the connection is wanted
     std::shared_ptr<Target> target;
     double priority = 0;  // among those that wait for a handshake, the highest goes first
 };
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -74,7 +74,7 @@
     generation_.reset();
     open_ = true;
     schedule_.opened(uv_now_time());
-    pool_.start(++call_, Target(discovery_), "GET", platform::watch_target(), {}, "");
+    pool_.start(++call_, Target(discovery_), {"GET", std::string(platform::watch_target()), {}, {}});
 }
 
 void DiscoveryWatch::close(const std::string& reason) {
--- a/src/net/effect_executor.cpp
+++ b/src/net/effect_executor.cpp
@@ -32,9 +32,10 @@
     const Target target =
         resources_.certificates.target_of(effect.address, effect.server_kind, effect.server);
     if (effect.kind == core::CallKind::verify) return resources_.servers.connect(effect.call.value, target);
-    resources_.servers.start(effect.call.value, target, effect.method, effect.target,
-                             std::move(effect.headers), effect.body, effect.priority,
-                             effect.kind == core::CallKind::release);
+    UpstreamRequest request{std::move(effect.method), std::move(effect.target), std::move(effect.headers),
+                            std::move(effect.body)};
+    const bool beyond_limit = effect.kind == core::CallKind::release;
+    resources_.servers.start(effect.call.value, target, std::move(request), {effect.priority, beyond_limit});
 }
 void EffectExecutor::apply(core::CallAbort& effect) { resources_.servers.cancel(effect.call.value); }
 void EffectExecutor::apply(core::HalfCloseCall& effect) { resources_.servers.half_close(effect.call.value); }
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -117,7 +117,7 @@
         counts_.handshakes_resumed += filter->resumed() ? 1 : 0;
     }
     if (step.fault && !filter->connected()) counts_.handshakes_failed += 1;
-    if (!step.plain.empty()) on_plaintext(connection, step.plain);
+    if (!step.plaintext.empty()) on_plaintext(connection, step.plaintext);
     if (connection.is_in(Phase::closed)) return;
     if (!connection.tls_output.empty()) flush(connection);
     if (!connection.is_in(Phase::closed) && (step.fault || step.ended)) close(connection, {Reason::tls, 0});
@@ -176,7 +176,7 @@
 }
 
 void HttpServer::on_whole_request(Connection& connection, http::Request request) {
-    connection.idle_kind = IdleConnections::Kind::kept;
+    connection.idle_kind = IdleConnections::Kind::reusable;
     count_unfinished(connection, connection.unparsed.size());
     connection.enter(Phase::responding);
     connection.exchange = {};
--- a/src/net/idle_limit.cpp
+++ b/src/net/idle_limit.cpp
@@ -1,41 +1,43 @@
 #include "net/idle_limit.hpp"
 
+#include <algorithm>
 #include <cmath>
 
 namespace chalksail::net {
 
-std::size_t IdleLimit::age_of(Duration rested) {
-    std::size_t age = 0;
-    for (Duration most = kFirst; age + 1 < kAges && rested > most; most *= 2) ++age;
-    return age;
+std::size_t IdleLimit::class_of(Duration idle_for) {
+    std::size_t out = 0;
+    for (Duration longest = kFirstClass; out + 1 < kClasses && idle_for > longest; longest *= 2) ++out;
+    return out;
 }
 
-void IdleLimit::fade(Time now) {
-    const double halves = std::chrono::duration<double>(now - faded_) / limits_.half_life;
-    faded_ = now;
-    const double left = std::exp2(-std::max(0.0, halves));
-    for (auto& c : ages_) {
-        c.good *= left;
-        c.broken *= left;
+void IdleLimit::decay(Time now) {
+    const double half_lives = std::chrono::duration<double>(now - decayed_at_) / limits_.half_life;
+    decayed_at_ = now;
+    const double factor = std::exp2(-std::max(0.0, half_lives));
+    for (auto& count : counts_) {
+        count.good *= factor;
+        count.broken *= factor;
     }
 }
 
-void IdleLimit::used(Time now, Duration rested, Duration taken, bool broke) {
-    if (broke && taken >= limits_.at_once) return;
-    fade(now);
-    Count& c = ages_[age_of(rested)];
-    (broke ? c.broken : c.good) += 1;
+void IdleLimit::record(Time now, Duration idle_for, Duration taken, bool broke) {
+    if (broke && taken >= limits_.drop_detection) return;
+    decay(now);
+    Count& count = counts_[class_of(idle_for)];
+    (broke ? count.broken : count.good) += 1;
 }
 
-Duration IdleLimit::longest(Time now) {
-    fade(now);
-    // Age by age: what has rested longer is not safer, but an age that is all right stays so whatever older
+Duration IdleLimit::longest_usable(Time now) {
+    decay(now);
+    // Class by class: a longer idle time is not safer, but a class that is good stays so whatever the longer
     // ones do.
-    Duration most = kFirst;
-    for (std::size_t age = 0; age < kAges; ++age, most *= 2) {
-        const Count& c = ages_[age];
-        if (c.broken >= limits_.least_broken && c.broken > limits_.broken_share * (c.good + c.broken))
-            return age == 0 ? Duration{} : most / 2;
+    Duration longest = kFirstClass;
+    for (std::size_t i = 0; i < kClasses; ++i, longest *= 2) {
+        const Count& count = counts_[i];
+        const double allowed = limits_.max_broken_share * (count.good + count.broken);
+        if (count.broken < limits_.min_broken || count.broken <= allowed) continue;
+        return i == 0 ? Duration{} : longest / 2;
     }
     return Duration::max();
 }
--- a/src/net/loop_handles.hpp
+++ b/src/net/loop_handles.hpp
@@ -34,7 +34,7 @@
     void unref() { uv_unref(reinterpret_cast<uv_handle_t*>(raw())); }
 
 protected:
-    explicit LoopHandle(LoopCallback callback) : state_(std::make_unique<State>()) {
+    explicit LoopHandle(LoopCallback&& callback) : state_(std::make_unique<State>()) {
         state_->callback = std::move(callback);
         state_->handle.data = state_.get();
     }
@@ -99,6 +99,16 @@
     void stop() { uv_idle_stop(raw()); }
 };
 
+// Calls back for each signal of one number. Active from the start.
+class SignalHandle : public LoopHandle<uv_signal_t> {
+public:
+    SignalHandle(uv_loop_t& loop, int number, LoopCallback on_signal) : LoopHandle(std::move(on_signal)) {
+        uv_signal_init(&loop, raw());
+        uv_signal_start(
+            raw(), [](uv_signal_t* signal, int) { run_callback(signal); }, number);
+    }
+};
+
 // Calls back while a descriptor is readable. The descriptor is its owner's.
 class Poll : public LoopHandle<uv_poll_t> {
 public:
--- a/src/net/tls/certificate_reloader.cpp
+++ b/src/net/tls/certificate_reloader.cpp
@@ -70,7 +70,7 @@
 
 namespace {
 
-// SessionCache verified under `old` would be verified under `next` too: nothing was taken from what is
+// Sessions verified under `old` would be verified under `next` too: nothing was taken from what is
 // trusted.
 bool trusts_all_of(const Material& next, const Material& old) {
     if (next.revocation != old.revocation || next.certificate != old.certificate) return false;
@@ -87,8 +87,12 @@
 
 std::string joined(const std::vector<Material>& all) {
     std::string out;
-    for (const auto& m : all)
-        out += m.trust + '\0' + m.revocation + '\0' + m.certificate + '\0' + m.key + '\0';
+    for (const auto& material : all)
+        for (const auto* text :
+             {&material.trust, &material.revocation, &material.certificate, &material.key}) {
+            out += *text;
+            out += '\0';
+        }
     return out;
 }
 
@@ -105,8 +109,8 @@
         else unread = m.error();
     }
     const std::string now = unread.empty() ? joined(materials) : unread;
-    if (now == seen_) return PollResult::unchanged;
-    seen_ = now;
+    if (now == last_read_) return PollResult::unchanged;
+    last_read_ = now;
     Context::Result next = tl::unexpected(unread);
     if (unread.empty()) {
         if (const auto* client = std::get_if<config::TlsConfig>(&config_))
@@ -120,8 +124,8 @@
     context_ = std::move(*next);
     error_.clear();
     // What was verified by a trust that is narrower now, or under another name of ours, is not resumed.
-    if (!trusts_all_of(materials.front(), good_)) sessions_.clear();
-    good_ = std::move(materials.front());
+    if (!trusts_all_of(materials.front(), used_material_)) sessions_.clear();
+    used_material_ = std::move(materials.front());
     return PollResult::replaced;
 }
 
--- a/src/net/tls/certificate_reloader.hpp
+++ b/src/net/tls/certificate_reloader.hpp
@@ -1,4 +1,5 @@
-// TLS material from an operator's files.
+// TLS material from an operator's files, and its replacement in service. Reads files; no thread of its own.
+// Errors are texts that name the file.
 #pragma once
 
 #include <string>
@@ -21,7 +22,7 @@
 [[nodiscard]] Context::Result load_client(const config::TlsConfig& config, const Material& material,
                                           std::int64_t unix_now);
 
-// What is in use, and how it is replaced in service. Not a thread of its own: poll() is called now and then.
+// The material in use. poll() is called now and then.
 class CertificateReloader {
 public:
     explicit CertificateReloader(config::TlsConfig config) : config_(std::move(config)) {}
@@ -43,8 +44,8 @@
     std::variant<config::TlsConfig, config::ListenerTls> config_;
     std::shared_ptr<Context> context_;
     SessionCache sessions_;
-    std::string seen_;  // all texts of the last look
-    Material good_;     // what is in use, of servers' trust
+    std::string last_read_;   // all texts of the last poll()
+    Material used_material_;  // of servers' trust
     std::string error_;
 };
 
--- a/src/net/tls/session_cache.cpp
+++ b/src/net/tls/session_cache.cpp
@@ -10,7 +10,7 @@
 
 void SessionCache::drop(const std::string& name) {
     const auto it = names_.find(name);
-    order_.erase(it->second.place);
+    order_.erase(it->second.position);
     names_.erase(it);
 }
 
@@ -22,31 +22,31 @@
         order_.push_back(name);
         it = names_.emplace(name, Name{{}, std::prev(order_.end())}).first;
     } else {
-        order_.splice(order_.end(), order_, it->second.place);
+        order_.splice(order_.end(), order_, it->second.position);
     }
-    auto& kept = it->second.kept;
-    kept.push_back({std::move(session), std::min(unix_now + limits_.seconds, until)});
-    if (kept.size() > limits_.each) kept.pop_front();
+    auto& entries = it->second.entries;
+    entries.push_back({std::move(session), std::min(unix_now + limits_.seconds, until)});
+    if (entries.size() > limits_.each) entries.pop_front();
 }
 
 Session SessionCache::take(const std::string& name, std::int64_t unix_now) {
     const auto it = names_.find(name);
     if (it == names_.end()) return nullptr;
-    auto& kept = it->second.kept;
+    auto& entries = it->second.entries;
     // Guards against a certificate that ran out: a handshake that resumes does not look at its times again.
-    std::erase_if(kept, [&](const Kept& k) { return k.until <= unix_now; });
-    if (kept.empty()) {
+    std::erase_if(entries, [&](const Entry& k) { return k.until <= unix_now; });
+    if (entries.empty()) {
         drop(name);
         return nullptr;
     }
-    order_.splice(order_.end(), order_, it->second.place);
-    if (SSL_SESSION_get_protocol_version(kept.back().session.get()) < TLS1_3_VERSION) {
-        SSL_SESSION_up_ref(kept.back().session.get());
-        return Session(kept.back().session.get());
+    order_.splice(order_.end(), order_, it->second.position);
+    if (SSL_SESSION_get_protocol_version(entries.back().session.get()) < TLS1_3_VERSION) {
+        SSL_SESSION_up_ref(entries.back().session.get());
+        return Session(entries.back().session.get());
     }
-    Session out = std::move(kept.back().session);
-    kept.pop_back();
-    if (kept.empty()) drop(name);
+    Session out = std::move(entries.back().session);
+    entries.pop_back();
+    if (entries.empty()) drop(name);
     return out;
 }
 
@@ -57,7 +57,7 @@
 
 std::size_t SessionCache::size() const {
     std::size_t out = 0;
-    for (const auto& [name, all] : names_) out += all.kept.size();
+    for (const auto& [name, all] : names_) out += all.entries.size();
     return out;
 }
 
--- a/src/net/tls/session_cache.hpp
+++ b/src/net/tls/session_cache.hpp
@@ -1,4 +1,4 @@
-// SessionCache to resume, by the name of the server that gave them. Bounded and aged. A session of TLS 1.3 is
+// TLS sessions to resume, by the name of the server that gave them. Bounded and aged. A session of TLS 1.3 is
 // used once (RFC 8446, C.4); one of 1.2 stays until it is old. No I/O; the time of day is an argument.
 #pragma once
 
@@ -9,7 +9,8 @@
 #include <memory>
 #include <string>
 
-typedef struct ssl_session_st SSL_SESSION;
+struct ssl_session_st;
+using SSL_SESSION = ssl_session_st;  // as OpenSSL declares it
 
 namespace chalksail::net::tls {
 
@@ -37,13 +38,13 @@
     [[nodiscard]] std::size_t size() const;
 
 private:
-    struct Kept {
+    struct Entry {
         Session session;
         std::int64_t until = 0;
     };
     struct Name {
-        std::list<Kept> kept;  // oldest first
-        std::list<std::string>::iterator place;
+        std::list<Entry> entries;  // oldest first
+        std::list<std::string>::iterator position;
     };
     void drop(const std::string& name);
 
--- a/src/net/upstream_connection.hpp
+++ b/src/net/upstream_connection.hpp
@@ -59,6 +59,22 @@
         if (state_ != State::closed) state_ = next;
     }
 
+    // Guards against servers that are blamed, and requests that are given up, for a moment in which this
+    // machine has no descriptor, port or memory: it goes to awaiting_retry then. An error says that it can't
+    // be reached.
+    int try_connect(Time now);
+    // The result has the first bytes for the server.
+    [[nodiscard]] tls::Step begin_handshake();
+    // While idle: nothing has come, neither an end nor bytes that were not requested.
+    [[nodiscard]] bool is_quiet() const;
+    // For another call, once the response has ended. Guards against a response before its request's last
+    // byte: the rest would go out ahead of the next request, and be answered in its place.
+    [[nodiscard]] bool can_be_reused() const;
+    // Idle for longer than `idle`, or with a response that nobody wants and that does not end in time.
+    [[nodiscard]] bool is_unused(Time now, Duration idle, Duration completion_timeout) const;
+    // It was reused, and nothing of a response came: it may have been closed while it was idle.
+    [[nodiscard]] bool broke_after_idle() const;
+
     const Target target;
     http::ResponseReader reader;
     PendingCall first;  // what it is established for, until its request is sent
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -1,11 +1,8 @@
 #include "net/upstream_pool.hpp"
 
 #include <algorithm>
-#include <ctime>
 #include <utility>
 
-#include "net/system_error.hpp"
-
 namespace chalksail::net {
 
 using engine::Ending;
@@ -18,9 +15,6 @@
 // Idle times are seconds long: checking them in one sweep of so many is exact enough.
 constexpr std::uint64_t kSweepsToIdleCheck = 25;
 
-// What the handshakes of one server are counted by.
-std::string handshake_key(const UpstreamKey& key) { return format_address(key.first) + ' ' + key.second; }
-
 }  // namespace
 
 UpstreamPool::UpstreamPool(uv_loop_t& loop, Handler& handler, PoolLimits limits)
@@ -29,7 +23,7 @@
       limits_(limits),
       sweep_timer_(loop, [this] { sweep(); }),
       read_buffer_(kPoolReadBuffer),
-      handshake_limiter_(limits.handshakes) {
+      handshakes_(limits.handshakes) {
     sweep_timer_.start_repeating(kPoolSweepInterval);
     sweep_timer_.unref();
 }
@@ -38,24 +32,19 @@
 
 // ---- the start of a call ----
 
-void UpstreamPool::start(Call call, const Target& to, std::string_view method, std::string_view target,
-                         http::Headers headers, std::string_view body, double priority, bool beyond_limit) {
-    http::Headers all;
-    all.add("Host", to.tls ? to.tls_name : format_address(to.address));
-    for (auto& header : headers.all()) all.add(std::move(header.name), std::move(header.value));
-    if (method != "GET") all.add("Content-Length", std::to_string(body.size()));
-    PendingRequest request{std::string(method), std::string(target), std::move(all), std::string(body)};
-
+void UpstreamPool::start(Call call, const Target& to, UpstreamRequest request, CallOptions options) {
+    add_framing_headers(request, to);
     const Key key = to.key();
     if (Connection* const idle = take_idle(key)) {
         counts_.reused += 1;
         return send(*idle, call, std::move(request));
     }
-    Server& server = servers_[key];
-    PendingCall pending{call, uv_now_time(), std::move(request), std::make_shared<Target>(to), priority};
-    if (server.connections < limits_.per_server) {
-        if (make_room() || beyond_limit) return dial(to, server, std::move(pending));
-        if (server.connections == 0) servers_.erase(key);
+    ServerConnections& server = servers_[key];
+    PendingCall pending{call, uv_now_time(), std::move(request), std::make_shared<Target>(to),
+                        options.priority};
+    if (server.count < limits_.per_server) {
+        if (make_room() || options.beyond_limit) return dial(to, server, std::move(pending));
+        if (server.count == 0) servers_.erase(key);
         return handler_.on_failed(call, Ending::no_resources,
                                   "connections to all servers are at their limit");
     }
@@ -64,23 +53,16 @@
     queue_.push(key, std::move(pending));
 }
 
-// The one used last: the others may be closed for want of use. One on which something has come, be it the end
-// or more than was requested, is of no use: what is written to it would be lost, or answered by what came
-// before.
+// One on which something has come, be it the end or more than was requested, is of no use: what is written to
+// it would be lost, or answered by what came before.
 UpstreamPool::Connection* UpstreamPool::take_idle(const Key& key) {
-    const Duration longest = idle_limit_.longest(uv_now_time());
+    const Duration longest = idle_limit_.longest_usable(uv_now_time());
     for (;;) {
         const auto server = servers_.find(key);
         if (server == servers_.end() || server->second.idle.empty()) return nullptr;
-        auto& idle = server->second.idle;
-        const Time preferred_since = uv_now_time() - limits_.preferred_idle;
-        const auto preferred = std::find_if(idle.rbegin(), idle.rend(),
-                                            [&](const auto* one) { return one->since <= preferred_since; });
-        Connection* const connection = preferred == idle.rend() ? idle.back() : *preferred;
-        const auto unread = connection->peek();
-        const bool quiet = unread == Connection::Unread::nothing || unread == Connection::Unread::unknown;
-        if (quiet && uv_now_time() - connection->since <= longest) {
-            std::erase(idle, connection);
+        Connection* const connection = server->second.preferred(uv_now_time() - limits_.preferred_idle);
+        if (connection->is_quiet() && uv_now_time() - connection->since <= longest) {
+            std::erase(server->second.idle, connection);
             return connection;
         }
         counts_.stale += 1;
@@ -102,14 +84,14 @@
 // ---- the way to a connection that is ready ----
 
 void UpstreamPool::connect(Call call, const Target& to) {
-    Server& server = servers_[to.key()];
+    ServerConnections& server = servers_[to.key()];
     // Its connections are all in use: that many are verified already, or will show it.
-    if (server.connections >= limits_.per_server || !make_room())
+    if (server.count >= limits_.per_server || !make_room())
         return handler_.on_failed(call, Ending::no_resources, "connections are at their limit");
     dial(to, server, {call, uv_now_time(), std::nullopt, std::make_shared<Target>(to), 0});
 }
 
-void UpstreamPool::dial(const Target& target, Server& server, PendingCall first) {
+void UpstreamPool::dial(const Target& target, ServerConnections& server, PendingCall first) {
     auto owned = make_connection<Connection>(loop_, read_buffer_, static_cast<Connection::Owner&>(*this),
                                              limits_.message, target);
     Connection& connection = *owned;
@@ -119,65 +101,45 @@
     connections_.emplace(&connection, std::move(owned));
     being_established_.insert(&connection);
     by_call_.emplace(connection.exchange.call, &connection);
-    server.connections += 1;
+    server.count += 1;
     counts_.dialled += 1;
     try_connect(connection);
 }
 
-// Guards against servers that are blamed, and requests that are given up, for a moment in which this machine
-// has no descriptor, port or memory: until the dial's time is over it is tried again.
 void UpstreamPool::try_connect(Connection& connection) {
-    connection.enter(State::connecting);
-    const int error = connection.connect(connection.target.address);
-    if (error == 0) return;
-    if (meaning_of(SystemCall::connect, error) == ErrorMeaning::peer)
-        return on_connect_failed(connection, error);
-    counts_.dials_retried += 1;
-    connection.enter(State::awaiting_retry);
-    connection.retry_at = uv_now_time() + connection.retry_backoff.next();
-}
-
-void UpstreamPool::on_connect_failed(Connection& connection, int error) {
-    counts_.dial_failed += 1;
-    on_failure(connection, Ending::dial_failed, uv_strerror(error));
+    const int error = connection.try_connect(uv_now_time());
+    if (error != 0) return on_connected(connection, error);
+    if (connection.is_in(State::awaiting_retry)) counts_.dials_retried += 1;
 }
 
 void UpstreamPool::on_connected(Connection& connection, int status) {
-    if (status != 0) return on_connect_failed(connection, status);
+    if (status != 0) {
+        counts_.dial_failed += 1;
+        return on_failure(connection, Ending::dial_failed, uv_strerror(status));
+    }
     connection.set_no_delay();
     connection.start_reading();
     if (!connection.target.tls) return on_ready(connection);
     // The handshake, and the wait for the limiter, count in the dial time-out: no byte of a request goes out
     // before its end. It waits connected, so that a server that can't be reached takes no place.
     connection.enter(State::handshake_queued);
-    connection.handshake_id = ++last_handshake_id_;
-    handshakes_.emplace(connection.handshake_id, &connection);
-    handshake_limiter_.enter(connection.handshake_id, handshake_key(connection.target.key()),
-                             connection.first.priority);
+    handshakes_.enter(connection);
     start_queued_handshakes();
-    counts_.handshakes_waiting_most = std::max(counts_.handshakes_waiting_most, handshake_limiter_.waiting());
+    counts_.handshakes_waiting_most = std::max(counts_.handshakes_waiting_most, handshakes_.waiting());
 }
 
 void UpstreamPool::start_queued_handshakes() {
-    while (const auto id = handshake_limiter_.next()) begin_handshake(*handshakes_.at(*id));
+    while (Connection* const next = handshakes_.next()) begin_handshake(*next);
 }
 
 void UpstreamPool::begin_handshake(Connection& connection) {
-    const Target& target = connection.target;
     counts_.handshakes += 1;
-    connection.enter(State::handshaking);
-    connection.set_tls(tls::Filter::client(target.tls, target.tls_name, target.sessions, std::time(nullptr)));
-    const auto first_flight = connection.tls()->start();
+    const auto first_flight = connection.begin_handshake();
     if (first_flight.fault) return on_tls_fault(connection, *first_flight.fault);
     if (connection.write(first_flight.to_peer) != 0)
         on_failure(connection, Ending::dial_failed, "closed by the server");
 }
 
-void UpstreamPool::end_handshake(Connection& connection) {
-    handshake_limiter_.leave(connection.handshake_id);
-    handshakes_.erase(std::exchange(connection.handshake_id, 0));
-}
-
 // What it was established for goes out.
 void UpstreamPool::on_ready(Connection& connection) {
     being_established_.erase(&connection);
@@ -202,7 +164,7 @@
 
 // ---- requests ----
 
-void UpstreamPool::send(Connection& connection, Call call, PendingRequest request) {
+void UpstreamPool::send(Connection& connection, Call call, UpstreamRequest request) {
     // Guards against a request that is late for its own purpose: the dial or the queue took its time.
     if (!handler_.on_ready(call, request.headers)) {
         connection.exchange.call = 0;
@@ -261,11 +223,11 @@
     connection.write(std::move(step.to_peer));
     if (step.connected) {
         counts_.handshakes_resumed += filter->resumed() ? 1 : 0;
-        end_handshake(connection);
+        handshakes_.leave(connection);
         on_ready(connection);
         start_queued_handshakes();
     }
-    if (!step.plain.empty() && !connection.is_in(State::closed)) on_plaintext(connection, step.plain);
+    if (!step.plaintext.empty() && !connection.is_in(State::closed)) on_plaintext(connection, step.plaintext);
     if (connection.is_in(State::closed)) return;
     if (step.fault) return on_tls_fault(connection, *step.fault);
     if (step.ended) on_stream_ended(connection);
@@ -296,7 +258,7 @@
     if (!connection.is_in(State::busy)) return close(connection);  // nothing was requested
     auto& exchange = connection.exchange;
     if (!std::exchange(exchange.response_begun, true) && exchange.idle_before > Duration::zero())
-        idle_limit_.used(uv_now_time(), exchange.idle_before, {}, false);
+        idle_limit_.record(uv_now_time(), exchange.idle_before, {}, false);
     on_response_parts(connection, connection.reader.feed(bytes));
 }
 
@@ -330,12 +292,8 @@
 
 // The connection waits for the next call, or is closed.
 void UpstreamPool::on_response_end(Connection& connection, bool keep_alive) {
-    // Guards against a response before its request's last byte: the rest would go out ahead of the next
-    // request, and be answered in its place.
-    const bool all_written = connection.write_queue_size() == 0 && !connection.write_failed;
-    const bool reusable = keep_alive && !connection.exchange.paused && !connection.half_closed && all_written;
+    const bool reusable = keep_alive && connection.can_be_reused();
     abandon_call(connection);
-    writing_.erase(&connection);
     if (reusable) make_idle(connection);
     else close(connection);
 }
@@ -347,10 +305,9 @@
     const auto exchange = connection.exchange;
     // Tells a reused connection that was no longer good from a server that died.
     std::string reason = detail;
-    const bool reused = exchange.idle_before > Duration::zero();
-    if (connection.is_in(State::busy) && !exchange.response_begun && reused) {
+    if (connection.broke_after_idle()) {
         const Time now = uv_now_time();
-        idle_limit_.used(now, exchange.idle_before, now - connection.since, true);
+        idle_limit_.record(now, exchange.idle_before, now - connection.since, true);
         reason +=
             "; kept, unused for " +
             format_duration(std::chrono::duration_cast<std::chrono::milliseconds>(exchange.idle_before));
@@ -362,6 +319,7 @@
 
 void UpstreamPool::abandon_call(Connection& connection) {
     by_call_.erase(connection.exchange.call);
+    writing_.erase(&connection);
     connection.exchange.call = 0;
 }
 
@@ -372,16 +330,16 @@
     being_established_.erase(&connection);
     writing_.erase(&connection);
     const bool had_handshake = connection.handshake_id != 0;
-    if (had_handshake) end_handshake(connection);
+    handshakes_.leave(connection);
     connection.send_close_notify();
     const Key key = connection.target.key();
-    Server& server = servers_[key];
-    server.connections -= 1;
+    ServerConnections& server = servers_[key];
+    server.count -= 1;
     std::erase(server.idle, &connection);
     owned.reset();
     dispatch_next(key);
     const auto it = servers_.find(key);
-    if (it != servers_.end() && it->second.connections == 0 && queue_.empty(key)) servers_.erase(it);
+    if (it != servers_.end() && it->second.count == 0 && queue_.empty(key)) servers_.erase(it);
     if (had_handshake) start_queued_handshakes();
 }
 
@@ -395,8 +353,8 @@
         if (idle != nullptr) servers_[key].idle.push_back(idle);
         return;
     }
-    Server& server = servers_[key];
-    if (idle == nullptr && (server.connections >= limits_.per_server || !make_room())) return;
+    ServerConnections& server = servers_[key];
+    if (idle == nullptr && (server.count >= limits_.per_server || !make_room())) return;
     PendingCall pending = queue_.pop(key);
     if (idle == nullptr) {
         const auto target = pending.target;
@@ -409,16 +367,20 @@
 // A call that waits for a handshake takes a connection that has become idle: one handshake less for the
 // server.
 void UpstreamPool::reuse_for_queued_handshakes(const Key& key) {
-    while (first_in_handshake_queue(key) != nullptr) {
+    const auto first_with_request = [&]() -> Connection* {
+        Connection* const first = handshakes_.first_waiting(key);
+        return first != nullptr && first->first.request ? first : nullptr;
+    };
+    while (first_with_request() != nullptr) {
         Connection* const idle = take_idle(key);
         if (idle == nullptr) return;
-        Connection* const queued = first_in_handshake_queue(key);
+        Connection* const queued = first_with_request();
         if (queued == nullptr) {  // given to another while a stale one was closed
             servers_[key].idle.push_back(idle);
             return;
         }
         const Call call = queued->exchange.call;
-        PendingRequest request = *std::exchange(queued->first.request, std::nullopt);
+        UpstreamRequest request = *std::exchange(queued->first.request, std::nullopt);
         abandon_call(*queued);
         close(*queued);
         counts_.reused += 1;
@@ -426,54 +388,51 @@
     }
 }
 
-UpstreamPool::Connection* UpstreamPool::first_in_handshake_queue(const Key& key) {
-    const auto id = handshake_limiter_.waiting_for(handshake_key(key));
-    if (!id) return nullptr;
-    Connection* const connection = handshakes_.at(*id);
-    return connection->first.request ? connection : nullptr;
-}
-
 // ---- what the owner does with a call ----
 
+UpstreamPool::Connection* UpstreamPool::find(Call call) const {
+    const auto it = by_call_.find(call);
+    return it == by_call_.end() ? nullptr : it->second;
+}
+
 void UpstreamPool::cancel(Call call) {
     if (queue_.remove(call)) return;
-    const auto it = by_call_.find(call);
-    if (it == by_call_.end()) return;
-    Connection& connection = *it->second;
-    connection.exchange.response_unwanted = true;
-    abandon_call(connection);
-    close(connection);
+    Connection* const connection = find(call);
+    if (connection == nullptr) return;
+    connection->exchange.response_unwanted = true;
+    abandon_call(*connection);
+    close(*connection);
 }
 
 void UpstreamPool::half_close(Call call) {
-    const auto it = by_call_.find(call);
-    if (it == by_call_.end() || !it->second->is_in(State::busy)) return;
-    it->second->half_closed = true;
-    it->second->shut_down_sending();
+    Connection* const connection = find(call);
+    if (connection == nullptr || !connection->is_in(State::busy)) return;
+    connection->half_closed = true;
+    connection->shut_down_sending();
 }
 
 void UpstreamPool::complete(Call call) {
-    const auto it = by_call_.find(call);
-    if (it == by_call_.end()) return;
-    it->second->exchange.response_unwanted = true;
-    it->second->since = uv_now_time();
+    Connection* const connection = find(call);
+    if (connection == nullptr) return;
+    connection->exchange.response_unwanted = true;
+    connection->since = uv_now_time();
 }
 
 void UpstreamPool::set_paused(Call call, bool paused) {
-    const auto it = by_call_.find(call);
-    if (it == by_call_.end()) return;
-    Connection& connection = *it->second;
-    if (connection.exchange.paused == paused || !connection.is_in(State::busy)) return;
-    connection.exchange.paused = paused;
-    if (paused) connection.stop_reading();
-    else connection.start_reading();
+    Connection* const connection = find(call);
+    if (connection == nullptr || !connection->is_in(State::busy)) return;
+    if (std::exchange(connection->exchange.paused, paused) == paused) return;
+    if (paused) connection->stop_reading();
+    else connection->start_reading();
 }
 
 // ---- time-outs ----
 
 void UpstreamPool::sweep() {
     const Time now = uv_now_time();
-    const auto overdue = overdue_connects(now);
+    const auto overdue = select(being_established_, [&](const Connection* connection) {
+        return now - connection->since > limits_.dial_timeout;
+    });
     if (++sweeps_ % kSweepsToIdleCheck == 0) close_unused(now);
     retry_connects(now);
     for (Connection* connection : overdue)
@@ -481,22 +440,11 @@
     fail_overdue_calls(now);
 }
 
-std::vector<UpstreamPool::Connection*> UpstreamPool::overdue_connects(Time now) const {
-    std::vector<Connection*> out;
-    for (Connection* connection : being_established_)
-        if (now - connection->since > limits_.dial_timeout) out.push_back(connection);
-    return out;
-}
-
 void UpstreamPool::close_unused(Time now) {
     std::vector<Connection*> unused;
-    for (const auto& [connection, owned] : connections_) {
-        const Duration age = now - connection->since;
-        const bool idle_too_long = connection->is_in(State::idle) && age > limits_.idle;
-        const bool ends_too_late = connection->is_in(State::busy) && connection->exchange.response_unwanted &&
-                                   age > limits_.completion_timeout;
-        if (idle_too_long || ends_too_late) unused.push_back(connection);
-    }
+    for (const auto& [connection, owned] : connections_)
+        if (connection->is_unused(now, limits_.idle, limits_.completion_timeout))
+            unused.push_back(connection);
     for (Connection* connection : unused) {
         if (connection->is_in(State::busy)) abandon_call(*connection);
         close(*connection);
@@ -504,11 +452,10 @@
 }
 
 void UpstreamPool::retry_connects(Time now) {
-    std::vector<Connection*> due;
-    for (Connection* connection : being_established_)
-        if (connection->is_in(State::awaiting_retry) && now >= connection->retry_at)
-            due.push_back(connection);
-    for (Connection* connection : due)
+    const auto is_due = [now](const Connection* connection) {
+        return connection->is_in(State::awaiting_retry) && now >= connection->retry_at;
+    };
+    for (Connection* connection : select(being_established_, is_due))
         if (connection->is_in(State::awaiting_retry)) try_connect(*connection);
 }
 
@@ -517,7 +464,7 @@
         return on_failure(connection, Ending::no_resources,
                           "this machine is short of descriptors, ports or memory");
     // Delayed by this gateway's own limit: that shows nothing about the server.
-    if (handshake_limiter_.waits_for_all(connection.handshake_id))
+    if (handshakes_.waits_for_total_limit(connection))
         return on_failure(connection, Ending::no_resources, "no handshake in time: all places are taken");
     counts_.dial_failed += 1;
     on_failure(connection, Ending::dial_failed, "no connection in time");
@@ -532,11 +479,10 @@
 
 void UpstreamPool::close_all() {
     queue_.clear();
-    std::vector<Connection*> all;
-    for (const auto& [connection, owned] : connections_) all.push_back(connection);
-    for (Connection* connection : all) {
-        abandon_call(*connection);
-        close(*connection);
+    while (!connections_.empty()) {
+        Connection& connection = *connections_.begin()->first;
+        abandon_call(connection);
+        close(connection);
     }
 }
 
@@ -544,8 +490,8 @@
     Counts out = counts_;
     out.connections = connections_.size();
     out.waiting = queue_.size();
-    out.handshakes_under_way = handshake_limiter_.under_way();
-    out.handshakes_waiting = handshake_limiter_.waiting();
+    out.handshakes_under_way = handshakes_.under_way();
+    out.handshakes_waiting = handshakes_.waiting();
     return out;
 }
 
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -31,9 +31,11 @@
 #include "engine/outcome.hpp"
 #include "http/message.hpp"
 #include "net/call_queue.hpp"
+#include "net/handshake_queue.hpp"
 #include "net/idle_limit.hpp"
 #include "net/loop_clock.hpp"
 #include "net/loop_handles.hpp"
+#include "net/server_connections.hpp"
 #include "net/tls/handshake_limiter.hpp"
 #include "net/upstream_connection.hpp"
 #include "net/upstream_target.hpp"
@@ -75,10 +77,16 @@
     UpstreamPool(const UpstreamPool&) = delete;
     UpstreamPool& operator=(const UpstreamPool&) = delete;
 
-    // Sends the request; Host, Content-Length and Connection are added. `priority` orders what waits for a
-    // handshake. `beyond_limit`: it gets a connection even where all may have no more: few, and short.
-    void start(Call call, const Target& to, std::string_view method, std::string_view target,
-               http::Headers headers, std::string_view body, double priority = 0, bool beyond_limit = false);
+    struct CallOptions {
+        double priority = 0;  // among the calls that wait for a handshake, the highest goes first
+        bool beyond_limit =
+            false;  // it gets a connection even where all may have no more: for few, short calls
+    };
+    // Sends the request; Host and Content-Length are added.
+    void start(Call call, const Target& to, UpstreamRequest request, CallOptions options);
+    void start(Call call, const Target& to, UpstreamRequest request) {
+        start(call, to, std::move(request), CallOptions{});
+    }
     // Only makes a connection, verified where the target says so, and keeps it for later calls: done, or
     // failed.
     void connect(Call call, const Target& to);
@@ -115,10 +123,6 @@
     using Connection = UpstreamConnection;
     using State = UpstreamConnection::State;
     using Key = UpstreamKey;
-    struct Server {
-        std::size_t connections = 0;
-        std::vector<Connection*> idle;
-    };
 
     // UpstreamConnection::Owner
     void on_connected(Connection& connection, int status) override;
@@ -126,19 +130,18 @@
     void on_read_error(Connection& connection, int error) override;
     void on_write_completed(Connection& connection, int status) override;
 
+    [[nodiscard]] Connection* find(Call call) const;
     // One that is still good, or nullptr.
     Connection* take_idle(const Key& key);
     // May another be made? At the limit for all, the one unused longest is closed.
     bool make_room();
-    void dial(const Target& target, Server& server, PendingCall first);
+    void dial(const Target& target, ServerConnections& server, PendingCall first);
     void try_connect(Connection& connection);
-    void on_connect_failed(Connection& connection, int error);
     void start_queued_handshakes();
     void begin_handshake(Connection& connection);
-    void end_handshake(Connection& connection);
     void on_ready(Connection& connection);
     void make_idle(Connection& connection);
-    void send(Connection& connection, Call call, PendingRequest request);
+    void send(Connection& connection, Call call, UpstreamRequest request);
     // Reports it if the kernel has taken all of the connection's request.
     void report_if_written(Connection& connection);
     void on_plaintext(Connection& connection, std::string_view bytes);
@@ -148,16 +151,13 @@
     void on_response_end(Connection& connection, bool keep_alive);
     void on_failure(Connection& connection, engine::Ending ending, const std::string& detail);
     void close(Connection& connection);
-    // Ends its call without a report.
+    // Forgets its call, without a report.
     void abandon_call(Connection& connection);
     // Gives what waits for this server to a connection, if one is idle or may be made.
     void dispatch_next(const Key& key);
     void reuse_for_queued_handshakes(const Key& key);
-    // Of those that wait for a handshake, the one that has a request and comes first.
-    [[nodiscard]] Connection* first_in_handshake_queue(const Key& key);
 
     void sweep();
-    [[nodiscard]] std::vector<Connection*> overdue_connects(Time now) const;
     void close_unused(Time now);
     void retry_connects(Time now);
     void fail_overdue_connect(Connection& connection);
@@ -168,16 +168,14 @@
     PoolLimits limits_;
     Timer sweep_timer_;
     ReadBuffer read_buffer_;
-    std::map<Key, Server> servers_;
+    std::map<Key, ServerConnections> servers_;
     CallQueue queue_;
     std::map<Connection*, OwnedConnection<Connection>> connections_;
     std::unordered_map<Call, Connection*> by_call_;  // those with a call, also while being established
     std::set<Connection*> being_established_;
     std::set<Connection*> writing_;  // of the busy ones: the last byte is not known to be out
     IdleLimit idle_limit_;
-    tls::HandshakeLimiter handshake_limiter_;
-    std::unordered_map<tls::HandshakeLimiter::Id, Connection*> handshakes_;  // queued or under way
-    tls::HandshakeLimiter::Id last_handshake_id_ = 0;
+    HandshakeQueue handshakes_;
     std::uint64_t sweeps_ = 0;
     Counts counts_;
 };
--- a/tests/fuzz/tls_fuzz.cpp
+++ b/tests/fuzz/tls_fuzz.cpp
@@ -94,14 +94,14 @@
     std::string to_server, to_client, sent, got;
     bool c_over = false, s_over = false, changed = false;
     const auto of_client = [&](Step step) {
-        require(!c_over || (step.plain.empty() && !step.connected));
-        require(step.plain.empty() || c->connected());
+        require(!c_over || (step.plaintext.empty() && !step.connected));
+        require(step.plaintext.empty() || c->connected());
         to_server += step.to_peer;
-        got += step.plain;
+        got += step.plaintext;
         c_over = c_over || step.fault != nullptr || step.ended;
     };
     const auto of_server = [&](Step step) {
-        require(!s_over || (step.plain.empty() && !step.connected));
+        require(!s_over || (step.plaintext.empty() && !step.connected));
         to_client += step.to_peer;
         s_over = s_over || step.fault != nullptr || step.ended;
     };
--- a/tests/net/cache_feed_test.cpp
+++ b/tests/net/cache_feed_test.cpp
@@ -37,13 +37,13 @@
     void on_cache_message(const std::string& server, std::uint64_t sequence, std::string payload,
                           bool replayed) override {
         if (server == "quiet") {
-            quiet_heard += 1;
+            quiet_received += 1;
             return;
         }
         EXPECT_EQ(server, "e");
         bytes_this_turn += payload.size();
         EXPECT_TRUE(prefix::decode(payload));
-        (replayed ? past : heard).push_back(sequence);
+        (replayed ? past : received).push_back(sequence);
         ++this_turn;
     }
     void on_cache_replay_ended(const std::string&) override { ++ended; }
@@ -67,7 +67,7 @@
         published += 1;
     }
     // All that was published is here; what was lost on purpose was not the last.
-    [[nodiscard]] bool all_heard() const { return !heard.empty() && heard.back() + 1 == published; }
+    [[nodiscard]] bool all_received() const { return !received.empty() && received.back() + 1 == published; }
     void publish_large(std::size_t bytes) {
         prefix::BlockStored e;
         e.block_size = 1;
@@ -78,40 +78,41 @@
     }
     // A subscriber hears what is published once its connection is there: until then nothing comes.
     bool joined() {
-        return until([this] { return !heard.empty(); }, [this] { publish(); });
+        return until([this] { return !received.empty(); }, [this] { publish(); });
     }
 
     uv_loop_t loop{};
     uv_timer_t alive{};
     std::unique_ptr<lab::CachePublisher> publisher;
     std::unique_ptr<CacheFeed> feed;
-    std::vector<std::uint64_t> heard, past;
+    std::vector<std::uint64_t> received, past;
     std::uint64_t published = 0;
-    int ended = 0, this_turn = 0, most_in_a_turn = 0, quiet_heard = 0;
+    int ended = 0, this_turn = 0, most_in_a_turn = 0, quiet_received = 0;
     std::size_t bytes_this_turn = 0, most_bytes = 0;
     bool lose = false;
 };
 
-TEST_F(Feeds, HeardInOrderAndReplayed) {
+TEST_F(Feeds, ReceivedInOrderAndReplayed) {
     begin(1000);
     ASSERT_TRUE(joined());
-    const auto first = heard.front();
+    const auto first = received.front();
     for (int i = 0; i < 20; ++i) publish();
     lose = true;
     publish();  // nobody hears this one
     lose = false;
     publish();
-    ASSERT_TRUE(until([&] { return heard.size() >= 2 && heard.back() - heard[heard.size() - 2] == 2; }));
+    ASSERT_TRUE(
+        until([&] { return received.size() >= 2 && received.back() - received[received.size() - 2] == 2; }));
     feed->replay("e", first);
     ASSERT_TRUE(until([&] { return ended == 1; }));
     EXPECT_EQ(past.front(), first);
-    EXPECT_EQ(past.back(), heard.back());
-    EXPECT_EQ(past.size(), heard.back() - first + 1);  // the lost one, too
+    EXPECT_EQ(past.back(), received.back());
+    EXPECT_EQ(past.size(), received.back() - first + 1);  // the lost one, too
     feed->replay("nobody", 0);
     EXPECT_EQ(feed->counts().malformed, 0U);
 }
 
-TEST_F(Feeds, PastThatIsGoneIsNotReplayed) {
+TEST_F(Feeds, BatchesNoLongerBufferedAreNotReplayed) {
     begin(3);
     ASSERT_TRUE(joined());
     for (int i = 0; i < 10; ++i) publish();
@@ -120,13 +121,13 @@
     EXPECT_EQ(past.size(), 3U);
 }
 
-TEST_F(Feeds, NewProcessAtTheSamePortsIsHeard) {
+TEST_F(Feeds, NewProcessAtTheSamePortsIsReceived) {
     begin(100);
     ASSERT_TRUE(joined());
     publisher->start();
-    heard.clear();
+    received.clear();
     ASSERT_TRUE(joined());
-    EXPECT_LT(heard.front(), 1'000'000U);
+    EXPECT_LT(received.front(), 1'000'000U);
     feed->unsubscribe("e");
     EXPECT_EQ(feed->counts().subscriptions, 0U);
 }
@@ -140,8 +141,8 @@
     ASSERT_TRUE(joined());
     most_in_a_turn = 0;
     for (int i = 0; i < 500; ++i) publish();  // within the publisher's own queue
-    const auto all = heard.size() + 400;
-    ASSERT_TRUE(until([&] { return heard.size() >= all; }));
+    const auto all = received.size() + 400;
+    ASSERT_TRUE(until([&] { return received.size() >= all; }));
     EXPECT_LE(most_in_a_turn, 16);
     EXPECT_GT(most_in_a_turn, 1);
 }
@@ -155,7 +156,7 @@
     ASSERT_TRUE(joined());
     most_bytes = 0;
     for (int i = 0; i < 50; ++i) publish_large(8'000);
-    ASSERT_TRUE(until([&] { return all_heard(); }));
+    ASSERT_TRUE(until([&] { return all_received(); }));
     EXPECT_LT(most_bytes, 2 * 9'000U);  // the one that went over the limit is the last of its turn
     EXPECT_GT(most_bytes, 8'000U);
 }
@@ -169,20 +170,21 @@
     ASSERT_TRUE(joined());
     lab::CachePublisher quiet(10, [] { return false; });
     feed->subscribe("quiet", quiet.events(), std::nullopt);
-    ASSERT_TRUE(until([&] { return quiet_heard > 0; }, [&] { quiet.publish({prefix::AllBlocksCleared{}}); }));
-    const auto all = heard.size() + 800;
+    ASSERT_TRUE(
+        until([&] { return quiet_received > 0; }, [&] { quiet.publish({prefix::AllBlocksCleared{}}); }));
+    const auto all = received.size() + 800;
     for (int i = 0; i < 900; ++i) publish();
-    quiet_heard = 0;
+    quiet_received = 0;
     std::size_t then = 0;
     ASSERT_TRUE(until(
         [&] {
-            if (quiet_heard > 0 && then == 0) then = heard.size();
-            return heard.size() >= all;
+            if (quiet_received > 0 && then == 0) then = received.size();
+            return received.size() >= all;
         },
         [&] {
-            if (heard.size() < all - 700) quiet.publish({prefix::AllBlocksCleared{}});
+            if (received.size() < all - 700) quiet.publish({prefix::AllBlocksCleared{}});
         }));
-    EXPECT_GT(quiet_heard, 0);
+    EXPECT_GT(quiet_received, 0);
     EXPECT_LT(then, all - 100);
 }
 
@@ -193,16 +195,16 @@
     limits.queue = 10;
     begin(5, limits);
     ASSERT_TRUE(joined());
-    heard.clear();
+    received.clear();
     for (int i = 0; i < 1'500; ++i) publish_large(64'000);  // some 100 MB: more than all buffers on the way
-    ASSERT_TRUE(until([&] { return heard.size() > 5; }));
+    ASSERT_TRUE(until([&] { return received.size() > 5; }));
     const auto gap = [&] {
-        for (std::size_t i = 1; i < heard.size(); ++i)
-            if (heard[i] != heard[i - 1] + 1) return true;
+        for (std::size_t i = 1; i < received.size(); ++i)
+            if (received[i] != received[i - 1] + 1) return true;
         return false;
     };
     ASSERT_TRUE(until(gap, [&] { publish(); }));
-    EXPECT_LT(heard.size(), 1'500U + 1'000U);
+    EXPECT_LT(received.size(), 1'500U + 1'000U);
 }
 
 }  // namespace
--- a/tests/net/crossing_test.cpp
+++ b/tests/net/crossing_test.cpp
@@ -26,21 +26,22 @@
 TEST_P(ClientLeaves, RightBehindTheRequestOnANewConnection) {
     begin([](auto& p) { p.send(kStream); });
     ASSERT_TRUE(served("a0"));
-    DirectClient gone(edge->address());
-    gone.send(told::post("a1"));
-    leave(gone, GetParam());
+    DirectClient disconnected(edge->address());
+    disconnected.send(messages::post("a1"));
+    leave(disconnected, GetParam());
     ASSERT_TRUE(served("a2"));  // came later, and is answered: the other was seen
     EXPECT_EQ(reader->requests, 2);
     EXPECT_EQ(edge->gauges().open_requests, 0U);
 }
 
-TEST_P(ClientLeaves, RightBehindTheRequestOnAKeptConnection) {
+TEST_P(ClientLeaves, RightBehindTheRequestOnAReusedConnection) {
     begin([](auto& p) { p.send(kStream); });
-    DirectClient gone(edge->address());
-    gone.send(told::post("a0"));
-    ASSERT_TRUE(until([&] { return gone.read() && gone.got.find("0\r\n\r\n") != std::string::npos; }));
-    gone.send(told::post("a1"));
-    leave(gone, GetParam());
+    DirectClient disconnected(edge->address());
+    disconnected.send(messages::post("a0"));
+    ASSERT_TRUE(until(
+        [&] { return disconnected.read() && disconnected.got.find("0\r\n\r\n") != std::string::npos; }));
+    disconnected.send(messages::post("a1"));
+    leave(disconnected, GetParam());
     ASSERT_TRUE(served("a2"));
     EXPECT_EQ(reader->requests, 2);
     EXPECT_EQ(edge->gauges().open_requests, 0U);
@@ -52,11 +53,11 @@
     quiet = true;
     begin([](auto& p) { p.send(kStream); });
     ASSERT_TRUE(until([&] { return !discovery->peers.empty() && discovery->requests == 1; }));
-    DirectClient gone(edge->address());
-    gone.send(told::post("a1"));
+    DirectClient disconnected(edge->address());
+    disconnected.send(messages::post("a1"));
     ASSERT_TRUE(until([&] { return edge->gauges().open_requests == 1; }));
     discovery->peers[0]->send(kStreamHead + chunked(whole(41) + "\n"));
-    leave(gone, GetParam());
+    leave(disconnected, GetParam());
     ASSERT_TRUE(served("a2"));
     EXPECT_EQ(reader->requests, 1);
 }
@@ -64,10 +65,10 @@
 TEST_P(ClientLeaves, WithItsReadOut) {
     begin([](auto& p) { p.send(kStream); });
     ASSERT_TRUE(served("a0"));
-    DirectClient gone(edge->address());
-    gone.send(told::post("a1"));
+    DirectClient disconnected(edge->address());
+    disconnected.send(messages::post("a1"));
     ASSERT_TRUE(until([&] { return reader->requests == 2; }));  // its answer is on the way
-    leave(gone, GetParam());
+    leave(disconnected, GetParam());
     ASSERT_TRUE(
         until([&] { return edge->gauges().open_requests == 0 && edge->gauges().kv_states_held == 0; }));
     ASSERT_TRUE(served("a2"));
@@ -76,22 +77,22 @@
 
 // Guards against reading that stops for back-pressure and hides a close: a client that sends much at once and
 // goes.
-TEST_P(ClientLeaves, WithMoreSentAheadThanIsKept) {
+TEST_P(ClientLeaves, WithMoreSentAheadThanIsRetained) {
     begin([](auto&) {},  // the writer says nothing
           [](auto& s) { s.limits.pipelined_bytes = 2000; });
-    DirectClient gone(edge->address());
-    gone.send(told::post("a1"));
+    DirectClient disconnected(edge->address());
+    disconnected.send(messages::post("a1"));
     ASSERT_TRUE(until([&] { return writer->requests == 1; }));
     std::string ahead;
-    for (int i = 0; i < 100; ++i) ahead += told::post("b" + std::to_string(i));
-    gone.send(ahead);
-    leave(gone, GetParam());
+    for (int i = 0; i < 100; ++i) ahead += messages::post("b" + std::to_string(i));
+    disconnected.send(ahead);
+    leave(disconnected, GetParam());
     EXPECT_TRUE(until([&] { return edge->gauges().open_requests == 0; }));
     EXPECT_EQ(writer->requests, 1);
 }
 
 // What was kept of a client that sends too far ahead is answered in order; then it is told, and ended.
-TEST_F(PlatformRig, ClientThatSendsTooFarAheadIsAnsweredAndTold) {
+TEST_F(PlatformRig, ClientThatSendsTooFarAheadIsAnsweredAndRejected) {
     RawServer::Peer* waits = nullptr;
     begin(
         [&](auto& p) {
@@ -100,13 +101,13 @@
         },
         [](auto& s) { s.limits.pipelined_bytes = 400; });
     DirectClient c(edge->address());
-    c.send(told::post("a1"));
+    c.send(messages::post("a1"));
     ASSERT_TRUE(until([&] { return waits != nullptr; }));
-    c.send(told::post("b0"));
+    c.send(messages::post("b0"));
     ASSERT_TRUE(served("other"));  // by then b0 was read
-    c.send(told::post("b1"));      // reaches over the limit, and is kept
+    c.send(messages::post("b1"));  // reaches over the limit, and is kept
     ASSERT_TRUE(served("other2"));
-    c.send(told::post("b2"));  // is thrown away
+    c.send(messages::post("b2"));  // is thrown away
     ASSERT_TRUE(served("other3"));
     waits->send(kStream);
     ASSERT_TRUE(until([&] { return !c.read(); }));
@@ -128,7 +129,7 @@
         },
         [](auto& s) { s.limits.pipelined_bytes = 4000; });
     RawClient& flood = client();
-    flood.send(told::post("a1"));
+    flood.send(messages::post("a1"));
     ASSERT_TRUE(until([&] { return writer->requests == 1; }));
     flood.send(std::string(16U * 1024 * 1024, 'x'));
     ASSERT_TRUE(served("a2"));
@@ -142,10 +143,10 @@
 TEST_F(PlatformRig, RequestThatCrossesTheShutdownIsNotTakenAndItsClientSeesAnEnd) {
     begin([](auto& p) { p.send(kStream); }, [](auto& s) { s.limits.drain_grace = 0ms; });
     DirectClient c(edge->address());
-    c.send(told::post("a1"));
+    c.send(messages::post("a1"));
     ASSERT_TRUE(until([&] { return c.read() && c.got.find("0\r\n\r\n") != std::string::npos; }));
     edge->drain();
-    c.send(told::post("a2"));
+    c.send(messages::post("a2"));
     c.got.clear();
     bool open = true;
     ASSERT_TRUE(until([&] { return !(open = c.read()); }));
@@ -159,19 +160,19 @@
 
 // One that came before the signal, read or not, gets its answer.
 TEST_F(PlatformRig, RequestThatCameBeforeTheShutdownIsAnswered) {
-    for (const bool kept : {false, true}) {
+    for (const bool reused : {false, true}) {
         begin([](auto& p) { p.send(kStream); }, [](auto& s) { s.limits.drain_grace = 0ms; });
         ASSERT_TRUE(served("a0"));
         DirectClient c(edge->address());
-        c.send(told::post("a1"));
-        if (kept) {
+        c.send(messages::post("a1"));
+        if (reused) {
             ASSERT_TRUE(until([&] { return c.read() && c.got.find("0\r\n\r\n") != std::string::npos; }));
             c.got.clear();
-            c.send(told::post("a2"));
+            c.send(messages::post("a2"));
         } else {
             // Taken by the listener, nothing of it read.
             ASSERT_TRUE(served("a3"));
-            c.send(told::post("a4"));
+            c.send(messages::post("a4"));
         }
         edge->drain();
         ASSERT_TRUE(until([&] { return !c.read(); }));
@@ -193,7 +194,7 @@
         },
         [](auto& s) { s.limits.drain_grace = 0ms; });
     DirectClient c(edge->address());
-    c.send(told::post("a1") + told::post("a2") + told::post("a3"));
+    c.send(messages::post("a1") + messages::post("a2") + messages::post("a3"));
     ASSERT_TRUE(until([&] { return waits != nullptr; }));
     edge->drain();
     edge->drain();  // a second signal changes nothing
@@ -210,7 +211,7 @@
 
 // Half of a request came before the signal, between its head and its body too: the rest is waited for.
 TEST_F(PlatformRig, RequestHalfReadAtTheShutdownIsAnswered) {
-    const std::string whole_request = told::post("a1");
+    const std::string whole_request = messages::post("a1");
     for (const std::size_t cut :
          {std::size_t{10}, whole_request.find("\r\n\r\n") + 4, whole_request.size() - 1}) {
         begin([](auto& p) { p.send(kStream); }, [](auto& s) { s.limits.drain_grace = 0ms; });
@@ -234,7 +235,7 @@
     RawServer::Peer* stream = nullptr;
     begin([&](auto& p) { stream = &p; }, [](auto& s) { s.limits.drain_grace = 0ms; });
     DirectClient c(edge->address());
-    c.send(told::post("a1"));
+    c.send(messages::post("a1"));
     ASSERT_TRUE(until([&] { return stream != nullptr; }));
     stream->send(kStreamHead + chunked(kEvent));
     ASSERT_TRUE(until([&] { return edge->gauges().started_streams == 1; }));
@@ -253,7 +254,7 @@
 
 // At the end of the drain time connections are ended by the same path: what was said is read, also by a
 // client that had sent more.
-TEST_F(PlatformRig, EndOfTheDrainTimeEatsNothingThatWasSaid) {
+TEST_F(PlatformRig, EndOfTheDrainTimeLosesNothingThatWasWritten) {
     RawServer::Peer* stream = nullptr;
     begin([&](auto& p) { stream = &p; },
           [](auto& s) {
@@ -261,13 +262,13 @@
               s.limits.drain = 1ms;
           });
     DirectClient c(edge->address());
-    c.send(told::post("a1"));
+    c.send(messages::post("a1"));
     ASSERT_TRUE(until([&] { return stream != nullptr; }));
     stream->send(kStreamHead + chunked(kEvent));
     ASSERT_TRUE(until([&] { return c.read() && c.got.find(kEvent) != std::string::npos; }));
     edge->drain();
     ASSERT_TRUE(until([&] { return edge->gauges().open_requests == 0; }));
-    c.send(told::post("a2"));
+    c.send(messages::post("a2"));
     ASSERT_TRUE(until([&] { return !c.read(); }));
     EXPECT_TRUE(c.in_good_order);
     EXPECT_FALSE(c.got.ends_with("0\r\n\r\n"));
@@ -282,7 +283,7 @@
     ASSERT_TRUE(served("a0"));
     edge->drain();
     DirectClient c(edge->address());
-    c.send(told::post("a1"));
+    c.send(messages::post("a1"));
     // The loop is busy past the grace: its timer is due in the turn in which it hears of the connection.
     const auto begun = uv_hrtime();
     while (uv_hrtime() < begun + 100'000'000) {
@@ -298,7 +299,7 @@
 
 // Ready, and taking requests, with discovery silent and a crowd that says nothing at the limit of
 // connections; served once the list can be had, which idle clients don't keep out.
-TEST_F(PlatformRig, ReadyBesideASilentCrowdWhileDiscoveryIsDown) {
+TEST_F(PlatformRig, ReadyBesideManySilentClientsWhileDiscoveryIsDown) {
     watch_limits.silence_midway = 50ms;
     quiet = true;
     begin([](auto& p) { p.send(kStream); }, [](auto& s) { s.limits.connections = 8; });
@@ -308,7 +309,7 @@
     ASSERT_TRUE(until([&] { return !probe.read() || probe.got.find("\r\n\r\n") != std::string::npos; }));
     EXPECT_TRUE(probe.got.starts_with("HTTP/1.1 200"));
     DirectClient c(edge->address());
-    c.send(told::post("a1"));
+    c.send(messages::post("a1"));
     ASSERT_TRUE(until([&] { return edge->gauges().open_requests == 1 && discovery->requests >= 2; }));
     quiet = false;
     ASSERT_TRUE(until([&] { return !c.read() || c.got.find("0\r\n\r\n") != std::string::npos; }));
@@ -322,14 +323,14 @@
     std::vector<RawServer::Peer*> streams;
     begin([&](auto& p) { streams.push_back(&p); });
     RawClient& slow = client();
-    slow.send(told::post("a1"));
+    slow.send(messages::post("a1"));
     ASSERT_TRUE(until([&] { return streams.size() == 1; }));
     slow.stop_reading();
     streams[0]->send(kStreamHead);
     for (int i = 0; i < 2000; ++i)
         streams[0]->send(chunked("data: {\"x\":\"" + std::string(10'000, 'y') + "\"}\n\n"));
     RawClient& c = client();
-    c.send(told::post("a2"));
+    c.send(messages::post("a2"));
     ASSERT_TRUE(until([&] { return streams.size() == 2; }));
     streams[1]->send(kStreamHead);
     for (int i = 0; i < 50; ++i) {
--- a/tests/net/handshake_limiter_test.cpp
+++ b/tests/net/handshake_limiter_test.cpp
@@ -1,4 +1,4 @@
-// Which handshakes begin: caps, worth, order, and that no place is ever lost.
+// Which handshakes begin: limits, priority, order, and that no place is ever lost.
 #include "net/tls/handshake_limiter.hpp"
 
 #include <gtest/gtest.h>
@@ -10,52 +10,52 @@
 namespace chalksail::net::tls {
 namespace {
 
-std::vector<HandshakeLimiter::Id> all_next(HandshakeLimiter& gate) {
+std::vector<HandshakeLimiter::Id> all_next(HandshakeLimiter& limiter) {
     std::vector<HandshakeLimiter::Id> out;
-    while (const auto id = gate.next()) out.push_back(*id);
+    while (const auto id = limiter.next()) out.push_back(*id);
     return out;
 }
 using Ids = std::vector<HandshakeLimiter::Id>;
 
 TEST(Gate, MostWorthyFirstThenFirstCome) {
-    HandshakeLimiter gate({2, 2});
-    gate.enter(1, "a", 1);
-    gate.enter(2, "b", 5);
-    gate.enter(3, "a", 5);
-    gate.enter(4, "b", 1);
-    EXPECT_EQ(all_next(gate), (Ids{2, 3}));
-    gate.leave(2);
-    EXPECT_EQ(all_next(gate), (Ids{1}));
-    gate.leave(3);
-    EXPECT_EQ(all_next(gate), (Ids{4}));
+    HandshakeLimiter limiter({2, 2});
+    limiter.enter(1, "a", 1);
+    limiter.enter(2, "b", 5);
+    limiter.enter(3, "a", 5);
+    limiter.enter(4, "b", 1);
+    EXPECT_EQ(all_next(limiter), (Ids{2, 3}));
+    limiter.leave(2);
+    EXPECT_EQ(all_next(limiter), (Ids{1}));
+    limiter.leave(3);
+    EXPECT_EQ(all_next(limiter), (Ids{4}));
 }
 
-TEST(Gate, OneServersStormTakesNoMoreThanItsCap) {
-    HandshakeLimiter gate({8, 3});
-    for (HandshakeLimiter::Id id = 1; id <= 20; ++id) gate.enter(id, "back", 9);
-    gate.enter(21, "other", 0);
-    EXPECT_EQ(all_next(gate), (Ids{1, 2, 3, 21}));  // the less worthy one goes past them
-    EXPECT_FALSE(gate.waits_for_all(4));            // it is its server that is busy
-    gate.leave(5);                                  // given up while it waited
-    gate.leave(1);
-    EXPECT_EQ(all_next(gate), (Ids{4}));
-    gate.leave(2);
-    EXPECT_EQ(all_next(gate), (Ids{6}));
-    EXPECT_EQ(gate.under_way(), 4U);
-    EXPECT_EQ(gate.waiting(), 14U);
+TEST(Gate, OneServersStormStaysWithinItsLimit) {
+    HandshakeLimiter limiter({8, 3});
+    for (HandshakeLimiter::Id id = 1; id <= 20; ++id) limiter.enter(id, "back", 9);
+    limiter.enter(21, "other", 0);
+    EXPECT_EQ(all_next(limiter), (Ids{1, 2, 3, 21}));  // the one of less priority goes past them
+    EXPECT_FALSE(limiter.waits_for_total_limit(4));    // it is its server that is busy
+    limiter.leave(5);                                  // given up while it waited
+    limiter.leave(1);
+    EXPECT_EQ(all_next(limiter), (Ids{4}));
+    limiter.leave(2);
+    EXPECT_EQ(all_next(limiter), (Ids{6}));
+    EXPECT_EQ(limiter.under_way(), 4U);
+    EXPECT_EQ(limiter.waiting(), 14U);
 }
 
-TEST(Gate, SaysWhoseLimitHoldsOneBack) {
-    HandshakeLimiter gate({1, 1});
-    gate.enter(1, "a", 1);
-    gate.enter(2, "b", 1);
-    gate.enter(3, "a", 1);
-    EXPECT_EQ(all_next(gate), (Ids{1}));
-    EXPECT_TRUE(gate.waits_for_all(2));
-    EXPECT_FALSE(gate.waits_for_all(3));
-    EXPECT_FALSE(gate.waits_for_all(1));
-    EXPECT_EQ(gate.waiting_for("a"), 3U);
-    EXPECT_EQ(gate.waiting_for("c"), std::nullopt);
+TEST(Gate, ReportsWhichLimitDelaysAHandshake) {
+    HandshakeLimiter limiter({1, 1});
+    limiter.enter(1, "a", 1);
+    limiter.enter(2, "b", 1);
+    limiter.enter(3, "a", 1);
+    EXPECT_EQ(all_next(limiter), (Ids{1}));
+    EXPECT_TRUE(limiter.waits_for_total_limit(2));
+    EXPECT_FALSE(limiter.waits_for_total_limit(3));
+    EXPECT_FALSE(limiter.waits_for_total_limit(1));
+    EXPECT_EQ(limiter.waiting_for("a"), 3U);
+    EXPECT_EQ(limiter.waiting_for("c"), std::nullopt);
 }
 
 // Against a plain model of the same rules: entries in one list, searched whole each time.
@@ -63,11 +63,11 @@
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         std::mt19937_64 random(seed);
         const HandshakeLimiter::Limits limits{1 + random() % 6, 1 + random() % 3};
-        HandshakeLimiter gate(limits);
+        HandshakeLimiter limiter(limits);
         struct One {
             HandshakeLimiter::Id id;
             std::string server;
-            double worth;
+            double priority;
             bool begun;
         };
         std::vector<One> model;
@@ -77,11 +77,11 @@
             if (what == 0) {
                 One one{++last, std::string(1, static_cast<char>('a' + random() % 4)),
                         static_cast<double>(random() % 3), false};
-                gate.enter(one.id, one.server, one.worth);
+                limiter.enter(one.id, one.server, one.priority);
                 model.push_back(one);
             } else if (what == 1 && !model.empty()) {
                 const auto at = static_cast<std::ptrdiff_t>(random() % model.size());
-                gate.leave(model[static_cast<std::size_t>(at)].id);
+                limiter.leave(model[static_cast<std::size_t>(at)].id);
                 model.erase(model.begin() + at);
             } else {
                 const auto busy = [&](const std::string& server) {
@@ -90,18 +90,18 @@
                         [&](const One& o) { return o.begun && (server.empty() || o.server == server); }));
                 };
                 One* best = nullptr;
-                if (busy("") < limits.in_all)
+                if (busy("") < limits.total)
                     for (auto& o : model)
                         if (!o.begun && busy(o.server) < limits.per_server &&
-                            (best == nullptr || o.worth > best->worth))
+                            (best == nullptr || o.priority > best->priority))
                             best = &o;
-                const auto got = gate.next();
+                const auto got = limiter.next();
                 ASSERT_EQ(got.has_value(), best != nullptr) << "seed " << seed;
                 if (best == nullptr) continue;
                 ASSERT_EQ(*got, best->id) << "seed " << seed;
                 best->begun = true;
             }
-            ASSERT_EQ(gate.under_way() + gate.waiting(), model.size());
+            ASSERT_EQ(limiter.under_way() + limiter.waiting(), model.size());
         }
     }
 }
--- a/tests/net/idle_connections_test.cpp
+++ b/tests/net/idle_connections_test.cpp
@@ -13,8 +13,8 @@
     IdleConnections p({.connections = 8});
     const Time now{1000s};
     EXPECT_EQ(p.choose_evicted(now, kNothing), std::nullopt);  // all are in use
-    p.add(1, Kind::kept, now - 9s);
-    p.add(2, Kind::kept, now - 3s);
+    p.add(1, Kind::reusable, now - 9s);
+    p.add(2, Kind::reusable, now - 3s);
     p.add(3, Kind::silent, now - 1ms);  // it may be about to ask
     EXPECT_EQ(p.choose_evicted(now, kNothing), 1U);
     EXPECT_EQ(p.choose_evicted(now, [](auto id) { return id == 1; }), 2U);  // a request of 1 has come
@@ -31,10 +31,10 @@
     const auto due = [&](std::size_t all, bool draining = false) {
         return p.overdue(now, all, draining, kNothing);
     };
-    p.add(1, Kind::kept, now - 50s);
+    p.add(1, Kind::reusable, now - 50s);
     p.add(2, Kind::silent, now - 3s);
     p.add(3, Kind::closing, now - 2s);
-    p.add(4, Kind::kept, now - 1s);
+    p.add(4, Kind::reusable, now - 1s);
     EXPECT_EQ(due(5), (std::vector<IdleConnections::Id>{2, 3}));
     EXPECT_EQ(due(7), (std::vector<IdleConnections::Id>{2, 1, 3}));
     EXPECT_EQ(due(5, true), (std::vector<IdleConnections::Id>{2, 1, 4, 3}));
--- a/tests/net/idle_limit_test.cpp
+++ b/tests/net/idle_limit_test.cpp
@@ -10,23 +10,23 @@
 TEST(IdleLimit, AgesAtWhichTooManyBreakAreNotUsedUntilThatIsPast) {
     IdleLimit limit;
     Time now{1000s};
-    EXPECT_EQ(limit.longest(now), Duration::max());
-    for (int i = 0; i < 100; ++i) limit.used(now, 20ms, 1ms, i == 0);  // one of a hundred: chance
-    for (int i = 0; i < 4; ++i) limit.used(now, 200ms, 1ms, true);
-    EXPECT_GE(limit.longest(now), 20ms);
-    EXPECT_LT(limit.longest(now), 200ms);
+    EXPECT_EQ(limit.longest_usable(now), Duration::max());
+    for (int i = 0; i < 100; ++i) limit.record(now, 20ms, 1ms, i == 0);  // one of a hundred: chance
+    for (int i = 0; i < 4; ++i) limit.record(now, 200ms, 1ms, true);
+    EXPECT_GE(limit.longest_usable(now), 20ms);
+    EXPECT_LT(limit.longest_usable(now), 200ms);
     now += 60s;  // nothing tells any more that it is still so
-    EXPECT_EQ(limit.longest(now), Duration::max());
+    EXPECT_EQ(limit.longest_usable(now), Duration::max());
 }
 
 TEST(IdleLimit, AFewAmongManyAreChance) {
     IdleLimit limit;
     const Time now{1000s};
-    for (int i = 0; i < 200; ++i) limit.used(now, 1s, 1ms, i % 40 == 0);
-    for (int i = 0; i < 20; ++i) limit.used(now, 1s, 300ms, true);  // the server died, later
-    EXPECT_EQ(limit.longest(now), Duration::max());
-    for (int i = 0; i < 20; ++i) limit.used(now, Duration{}, 1ms, true);
-    EXPECT_EQ(limit.longest(now), Duration{});  // none is to be used that has rested at all
+    for (int i = 0; i < 200; ++i) limit.record(now, 1s, 1ms, i % 40 == 0);
+    for (int i = 0; i < 20; ++i) limit.record(now, 1s, 300ms, true);  // the server died, later
+    EXPECT_EQ(limit.longest_usable(now), Duration::max());
+    for (int i = 0; i < 20; ++i) limit.record(now, Duration{}, 1ms, true);
+    EXPECT_EQ(limit.longest_usable(now), Duration{});  // none is to be used that has rested at all
 }
 
 }  // namespace
--- a/tests/net/listener_test.cpp
+++ b/tests/net/listener_test.cpp
@@ -18,12 +18,12 @@
 
 namespace {
 std::function<int()> accept_fault;  // the errno of the next accept4(), or 0
-std::function<int()> look_fault;    // of the next recv() with MSG_PEEK
+std::function<int()> peek_error;    // of the next recv() with MSG_PEEK
 }  // namespace
 
 extern "C" ssize_t recv(int fd, void* buffer, size_t size, int flags) {
     static const auto real = reinterpret_cast<ssize_t (*)(int, void*, size_t, int)>(dlsym(RTLD_NEXT, "recv"));
-    if (const int error = look_fault && (flags & MSG_PEEK) != 0 ? look_fault() : 0; error != 0) {
+    if (const int error = peek_error && (flags & MSG_PEEK) != 0 ? peek_error() : 0; error != 0) {
         errno = error;
         return -1;
     }
@@ -110,7 +110,7 @@
     EXPECT_LE(calls, before + 2);
 }
 
-TEST_F(ListenerTest, OneThatIsGoneIsPassedOver) {
+TEST_F(ListenerTest, EndedConnectionIsSkipped) {
     int calls = 0;
     accept_fault = [&] { return ++calls == 2 ? ECONNABORTED : 0; };
     connect_clients(3);
@@ -151,7 +151,7 @@
         address = server->listen({"127.0.0.1", 0});
     }
     ~ServerTest() override {
-        look_fault = nullptr;
+        peek_error = nullptr;
         server.reset();
         ::close(client);
         uv_run(&loop, UV_RUN_DEFAULT);
@@ -172,7 +172,7 @@
         ASSERT_EQ(::connect(client, reinterpret_cast<const sockaddr*>(&at), sizeof at), 0);
         while (server->counts().connections == 0) uv_run(&loop, UV_RUN_ONCE);
     }
-    void ask() const {
+    void send_request() const {
         const std::string request = "GET / HTTP/1.1\r\nHost: x\r\n\r\n";
         ASSERT_EQ(::send(client, request.data(), request.size(), 0), static_cast<ssize_t>(request.size()));
     }
@@ -188,10 +188,10 @@
 TEST_F(ServerTest, ConnectionIsNotEndedWhileItCantBeLookedAt) {
     for (const int error : {EINTR, ENOMEM}) {
         connect_client();
-        ask();
-        look_fault = [error] { return error; };
+        send_request();
+        peek_error = [error] { return error; };
         server->drain();
-        look_fault = nullptr;
+        peek_error = nullptr;
         const int before = requests;
         for (int turns = 0; turns < 100 && requests == before; ++turns) uv_run(&loop, UV_RUN_NOWAIT);
         EXPECT_EQ(requests, before + 1) << error;
--- a/tests/net/platform_rig.hpp
+++ b/tests/net/platform_rig.hpp
@@ -11,7 +11,7 @@
 
 namespace chalksail::net::testing {
 
-namespace told = platform::testing;
+namespace messages = platform::testing;
 
 inline const std::string kEvent = "data: {\"choices\":[]}\n\n";
 inline const std::string kStream = kStreamHead + chunked(kEvent) + chunked("data: [DONE]\n\n") + "0\r\n\r\n";
@@ -41,23 +41,23 @@
     }
     void open(std::optional<platform::EndpointListUpdate> known,
               const std::function<void(config::EdgeSettings&)>& change) {
-        const auto told =
-            platform::parse_configuration(told::configuration_text(format_address(discovery->address)), {});
-        auto settings = core::platform_settings(told.value());
+        const auto configuration = platform::parse_configuration(
+            messages::configuration_text(format_address(discovery->address)), {});
+        auto settings = core::platform_settings(configuration.value());
         settings.module.dial_timeout =
             5s;  // a busy machine must not look like a server that can't be dialled
         change(settings);
         log = std::make_unique<observe::Log>("t", "off");
-        auto list =
-            std::make_unique<DiscoveryWatch>(loop, *log, told->discovery, std::move(known), watch_limits);
+        auto list = std::make_unique<DiscoveryWatch>(loop, *log, configuration->discovery, std::move(known),
+                                                     watch_limits);
         watch = list.get();
         edge = std::make_unique<EdgeServer>(loop, settings, *log, std::move(list));
     }
     WatchLimits watch_limits;
     [[nodiscard]] std::string whole(int generation) const {
-        return told::list_text(told::instance("r1", "reader", format_address(reader->address)) + "," +
-                                   told::instance("w1", "writer", format_address(writer->address)),
-                               generation);
+        return messages::list_text(messages::instance("r1", "reader", format_address(reader->address)) + "," +
+                                       messages::instance("w1", "writer", format_address(writer->address)),
+                                   generation);
     }
     bool answered(RawClient& c, const std::string& what) {
         return until([&] { return c.got().find(what) != std::string::npos || c.closed(); }) &&
@@ -65,7 +65,7 @@
     }
     bool served(const std::string& id) {
         RawClient& c = client();
-        c.send(told::post(id));
+        c.send(messages::post(id));
         return answered(c, "0\r\n\r\n") && c.got().find("[DONE]") != std::string::npos;
     }
     // Until the list is in force, requests are held: the first one served says that it is.
--- a/tests/net/platform_socket_test.cpp
+++ b/tests/net/platform_socket_test.cpp
@@ -14,14 +14,14 @@
 
 // Clients that ask once and keep their connection for good filled all places, and whoever came next was
 // closed on (half of a churn day was lost so).
-TEST_F(PlatformRig, KeptConnectionsMakeRoomForNewOnes) {
+TEST_F(PlatformRig, ReusableConnectionsMakeRoomForNewOnes) {
     begin([](auto& p) { p.send(kStream); }, [](auto& s) { s.limits.connections = 4; });
     for (int i = 0; i < 12; ++i) EXPECT_TRUE(served("a" + std::to_string(i))) << i;
     EXPECT_GE(std::count_if(clients.begin(), clients.end(), [](const auto& c) { return c->closed(); }), 8);
 }
 
 // A crowd that says nothing is let go of in its time, and never keeps a request out.
-TEST_F(PlatformRig, SilentCrowdKeepsNobodyOut) {
+TEST_F(PlatformRig, ManySilentClientsKeepNobodyOut) {
     begin([](auto& p) { p.send(kStream); },
           [](auto& s) {
               s.limits.connections = 4;
@@ -61,7 +61,7 @@
 }
 
 // Its end was there before the next request: that goes out on another connection, and only once.
-TEST_F(PlatformRig, ConnectionThatWasClosedOrSaidMoreIsNotUsedAgain) {
+TEST_F(PlatformRig, ConnectionThatWasClosedOrSentMoreIsNotReused) {
     for (const auto& more : {std::string(), kStream}) {
         int count = 0;
         begin([&](auto& p) {
@@ -103,22 +103,22 @@
         std::string("POST /v1/chat/completions HTTP/1.1\r\nContent-Length: five\r\n\r\n"),
         "POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: "
         "chunked\r\n\r\n0\r\n\r\n" +
-            told::post("hidden"),
+            messages::post("hidden"),
         "POST /v1/chat/completions HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: "
         "5\r\n\r\n0\r\n\r\n" +
-            told::post("hidden"),
-        std::string("\x16\x03\x01\x02 what is this"), told::post("half").substr(0, 80),
-        told::post("half").substr(0, told::post("half").size() - 4), told::post("bad", "nobody"),
-        told::post("bad", "chat", "", "soon"), told::post("")));
+            messages::post("hidden"),
+        std::string("\x16\x03\x01\x02 what is this"), messages::post("half").substr(0, 80),
+        messages::post("half").substr(0, messages::post("half").size() - 4), messages::post("bad", "nobody"),
+        messages::post("bad", "chat", "", "soon"), messages::post("")));
 
 // Hundreds at once, on one connection and on many, and at once again after each refusal.
 TEST_F(PlatformRig, CrowdsAreAnsweredOneByOne) {
     begin([](auto& p) { p.send(kStream); });
     RawClient& c = client();
     std::string bad;
-    for (int i = 0; i < 300; ++i) bad += told::post("bad", "nobody");
+    for (int i = 0; i < 300; ++i) bad += messages::post("bad", "nobody");
     c.send(bad);
-    for (int i = 0; i < 100; ++i) client().send(told::post("id" + std::to_string(i)));
+    for (int i = 0; i < 100; ++i) client().send(messages::post("id" + std::to_string(i)));
     const auto answers = [](const RawClient& of) {
         std::size_t count = 0;
         for (auto at = of.got().find("HTTP/1.1 "); at != std::string::npos;
@@ -135,11 +135,11 @@
 
 // Guards against attempts for a client that has gone: a close behind bytes that nobody had read was not
 // heard.
-TEST_F(PlatformRig, CloseBehindRequestsSentAheadIsHeard) {
+TEST_F(PlatformRig, CloseBehindRequestsSentAheadIsNoticed) {
     begin([](auto&) {});  // the writer says nothing
     RawClient& c = client();
-    std::string all = told::post("a1");
-    for (int i = 0; i < 200; ++i) all += told::post("b" + std::to_string(i));
+    std::string all = messages::post("a1");
+    for (int i = 0; i < 200; ++i) all += messages::post("b" + std::to_string(i));
     ASSERT_GT(all.size(), 20'000U);
     c.send(all);
     ASSERT_TRUE(until([&] { return writer->requests == 1; }));
@@ -155,7 +155,7 @@
     int count = 0;
     begin([&](auto& p) { p.send(++count == 1 ? GetParam().first : kStream); });
     RawClient& c = client();
-    c.send(told::post("a1", "order"));
+    c.send(messages::post("a1", "order"));
     if (GetParam().second) {  // events of it were passed on: cut, without the stream's end
         ASSERT_TRUE(until([&] { return c.closed(); }));
         EXPECT_NE(c.got().find(kEvent), std::string::npos);
@@ -164,7 +164,7 @@
         EXPECT_TRUE(answered(c, "HTTP/1.1 502"));
     }
     EXPECT_EQ(count, 1);  // it may have run
-    EXPECT_TRUE(until([&] { return writer->peers[0]->gone; }));
+    EXPECT_TRUE(until([&] { return writer->peers[0]->disconnected; }));
 }
 INSTANTIATE_TEST_SUITE_P(
     Kinds, BadServer,
@@ -211,28 +211,28 @@
     watch_limits.silence = 1h;  // it is not silence that ends a watch here
     begin([](auto& p) { p.send(kStream); });
     EXPECT_TRUE(served("a1"));
-    const auto gone = told::instance("w1", "writer", format_address(writer->address), "removed");
-    discovery->peers[0]->send(chunked(told::list_text(gone, 5, false) + "\n"));
+    const auto disconnected = messages::instance("w1", "writer", format_address(writer->address), "removed");
+    discovery->peers[0]->send(chunked(messages::list_text(disconnected, 5, false) + "\n"));
     ASSERT_TRUE(until([&] { return discovery->requests == 2; }));
     EXPECT_TRUE(served("a2"));  // the whole list has the writer
     // An empty change of a known version tells nothing, and costs nothing.
-    discovery->peers[1]->send(chunked(told::list_text("", 41, false) + "\n"));
+    discovery->peers[1]->send(chunked(messages::list_text("", 41, false) + "\n"));
     EXPECT_TRUE(served("a3"));
     EXPECT_EQ(discovery->requests, 2);
 }
 
 // A list may come in pieces, spread over lines, with white space anywhere.
-TEST_F(PlatformRig, ListMayComeIndentedAndInPieces) {
+TEST_F(PlatformRig, ListMayComeIndentedAndInParts) {
     begin([](auto& p) { p.send(kStream); });
     EXPECT_TRUE(served("a1"));
-    const auto draining = told::instance("w1", "writer", format_address(writer->address), "draining");
+    const auto draining = messages::instance("w1", "writer", format_address(writer->address), "draining");
     const std::string spread =
         "\r\n  {\n  \"generation\": 42,\n\t\"reset\": false,\n  \"instances\": [\n    " + draining +
         "\n  ]\n}\n";
     for (const char c : spread) discovery->peers[0]->send(chunked(std::string(1, c)));
     RawClient& c = client();
     ASSERT_TRUE(until([&] { return discovery->peers[0]->written > spread.size(); }));
-    c.send(told::post("a2", "chat", "", "300m"));
+    c.send(messages::post("a2", "chat", "", "300m"));
     EXPECT_TRUE(answered(c, "HTTP/1.1 503"));  // no writer is in service
     EXPECT_EQ(discovery->requests, 1);
 }
@@ -288,14 +288,14 @@
     EXPECT_NE(other.last.find("since=0"), std::string::npos);
     EXPECT_TRUE(served("a2"));
     other.peers[0]->send(kStreamHead + chunked(whole(3) + "\n"));
-    other.peers[0]->send(
-        chunked(told::list_text(told::instance("w1", "writer", format_address(writer->address), "draining"),
-                                4, false) +
-                "\n"));
+    other.peers[0]->send(chunked(
+        messages::list_text(messages::instance("w1", "writer", format_address(writer->address), "draining"),
+                            4, false) +
+        "\n"));
     const auto sent = writer->requests;
     until([&] { return other.peers[0]->written > 0; });
     RawClient& c = client();
-    c.send(told::post("a3", "chat", "", "300m"));
+    c.send(messages::post("a3", "chat", "", "300m"));
     EXPECT_TRUE(answered(c, "HTTP/1.1 503"));  // no writer is in service
     EXPECT_EQ(writer->requests, sent);
     stop();
@@ -304,19 +304,19 @@
 // ---- going away ----
 
 // New connections still come, and clients go on with the ones that they have.
-TEST_F(PlatformRig, TakesRequestsForAGraceAfterTheSignalThenEnds) {
+TEST_F(PlatformRig, AcceptsRequestsForAGracePeriodAfterTheSignalThenEnds) {
     begin([](auto& p) { p.send(kStream); }, [](auto& s) { s.limits.drain_grace = 300ms; });
-    RawClient& kept = client();
-    kept.send(told::post("a1"));
-    ASSERT_TRUE(answered(kept, "[DONE]"));
+    RawClient& reused = client();
+    reused.send(messages::post("a1"));
+    ASSERT_TRUE(answered(reused, "[DONE]"));
     edge->drain();
     for (const auto* id : {"a2", "a3"}) {
-        const auto before = kept.got().size();
-        kept.send(told::post(id));
-        ASSERT_TRUE(until([&] { return kept.got().find("0\r\n\r\n", before) != std::string::npos; }));
+        const auto before = reused.got().size();
+        reused.send(messages::post(id));
+        ASSERT_TRUE(until([&] { return reused.got().find("0\r\n\r\n", before) != std::string::npos; }));
     }
     EXPECT_TRUE(served("a4"));
-    EXPECT_TRUE(until([&] { return kept.closed(); }));
+    EXPECT_TRUE(until([&] { return reused.closed(); }));
     EXPECT_TRUE(until([&] { return edge->finished(); }));
 }
 
--- a/tests/net/pool_crossing_test.cpp
+++ b/tests/net/pool_crossing_test.cpp
@@ -49,7 +49,7 @@
 
 // Guards against a request that is taken for one that never ran while all of it is with the kernel: libuv
 // says so by a callback, one turn later, and timers come before that. The write queue says so at once.
-TEST_F(PoolCrossing, LastByteCountsOnceTheKernelHasItNotOnceLibuvSaysSo) {
+TEST_F(PoolCrossing, LastByteCountsOnceTheKernelHasItNotAtLibuvsCallback) {
     Peer peer;
     keep(peer);
     no_direct_writes = true;
@@ -59,12 +59,12 @@
 }
 
 // The same where the call is ended by the pool itself: told before its end.
-TEST_F(PoolCrossing, LastByteIsToldBeforeTheEndOfItsCall) {
+TEST_F(PoolCrossing, LastByteIsReportedBeforeTheEndOfItsCall) {
     Peer peer;
     keep(peer);
     no_direct_writes = true;
     call(peer, "body");
-    peer.hang_up(true);
+    peer.disconnect(true);
     until([&] { return over; });
     EXPECT_TRUE(written);
     EXPECT_EQ(ending, engine::Ending::closed);
@@ -88,7 +88,7 @@
         got += drain(peer);
         return got > kMoreThanAnyBuffer;
     });
-    peer.say(kAnswer);
+    peer.send_bytes(kAnswer);
     until([&] { return over; });
     EXPECT_EQ(ending, engine::Ending::answered);
 }
@@ -105,21 +105,23 @@
     switch (end) {
         case ServerEnds::close:
             drain(peer);
-            peer.hang_up(false);
+            peer.disconnect(false);
             break;
-        case ServerEnds::reset: peer.hang_up(true); break;
+        case ServerEnds::reset: peer.disconnect(true); break;
         case ServerEnds::half_close: shutdown(peer.one, SHUT_WR); break;
-        case ServerEnds::answer: peer.say("HTTP/1.1 413 Too Large\r\nContent-Length: 0\r\n\r\n"); break;
+        case ServerEnds::answer:
+            peer.send_bytes("HTTP/1.1 413 Too Large\r\nContent-Length: 0\r\n\r\n");
+            break;
     }
     until([&] { return over; });
     EXPECT_EQ(written, all_out);
     EXPECT_EQ(ending, end == ServerEnds::answer ? engine::Ending::answered : engine::Ending::closed);
     // Guards against what is left of this request going out ahead of the next one, on the same connection.
-    const bool kept = end == ServerEnds::answer && all_out;
+    const bool reused = end == ServerEnds::answer && all_out;
     const auto dialled = pool->counts().dialled;
     Peer other;
     call(peer);
-    EXPECT_EQ(pool->counts().dialled, dialled + (kept ? 0 : 1));
+    EXPECT_EQ(pool->counts().dialled, dialled + (reused ? 0 : 1));
     pool->cancel(last);
 }
 INSTANTIATE_TEST_SUITE_P(Kinds, EndOfACall,
@@ -129,7 +131,7 @@
 
 // Guards against a request that goes out although its time was over while its connection was made. The
 // connection is good, and serves the next.
-TEST_F(PoolCrossing, CallWhoseTimeIsOverWhenItsConnectionIsReadyIsKeptBack) {
+TEST_F(PoolCrossing, CallWhoseTimeIsOverWhenItsConnectionIsReadyIsWithheld) {
     open();
     Peer peer;
     goes = false;
@@ -155,7 +157,7 @@
     http::Headers headers;
     headers.add("X-Time-Left", "300m");
     over = written = false;
-    pool->start(++last, Target(peer.address), "POST", "/", std::move(headers), "body");
+    pool->start(++last, Target(peer.address), {"POST", "/", std::move(headers), "body"});
     until([&] { return written; });
     peer.take();
     std::string got(1000, '\0');
@@ -166,7 +168,7 @@
 }
 
 // Closed for sending, a call's answer is still heard; the connection is used for nothing else.
-TEST_F(PoolCrossing, AnswerIsHeardOnAConnectionThatIsClosedForSending) {
+TEST_F(PoolCrossing, ResponseIsReadOnAHalfClosedConnection) {
     Peer peer;
     keep(peer);
     call(peer, "body");
@@ -175,7 +177,7 @@
     drain(peer);
     char byte = 0;
     EXPECT_EQ(recv(peer.one, &byte, 1, 0), 0);  // the server sees the end
-    peer.say(kAnswer);
+    peer.send_bytes(kAnswer);
     until([&] { return over; });
     EXPECT_EQ(ending, engine::Ending::answered);
     EXPECT_EQ(pool->counts().connections, 0U);
@@ -205,15 +207,15 @@
     Peer peer;
     call(peer);
     until([&] { return written; });
-    for (int i = 0; i < 3; ++i) pool->start(++last, Target(peer.address), "POST", "/late", {}, "");
+    for (int i = 0; i < 3; ++i) pool->start(++last, Target(peer.address), {"POST", "/late", {}, {}});
     late_until = last;
-    pool->start(++last, Target(peer.address), "POST", "/next", {}, "");
+    pool->start(++last, Target(peer.address), {"POST", "/next", {}, {}});
     written = false;
     peer.take();
-    peer.say(kAnswer);
+    peer.send_bytes(kAnswer);
     until([&] { return expired == 3 && written; });
     over = false;
-    peer.say(kAnswer);
+    peer.send_bytes(kAnswer);
     until([&] { return over; });
     EXPECT_EQ(pool->counts().dialled, 1U);
 }
--- a/tests/net/pool_rig.hpp
+++ b/tests/net/pool_rig.hpp
@@ -36,10 +36,10 @@
             if (fd >= 0) close(fd);
     }
     void take() { one = accept(listener, nullptr, nullptr); }
-    void say(const std::string& bytes) const {
+    void send_bytes(const std::string& bytes) const {
         EXPECT_EQ(send(one, bytes.data(), bytes.size(), MSG_NOSIGNAL), static_cast<ssize_t>(bytes.size()));
     }
-    void hang_up(bool reset) {
+    void disconnect(bool reset) {
         const linger hard{1, 0};
         if (reset) setsockopt(one, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
         close(std::exchange(one, -1));
@@ -65,7 +65,7 @@
     }
     void call(const Peer& peer, std::string_view body = "", bool beyond_limit = false) {
         over = written = false;
-        pool->start(++last, Target(peer.address), "POST", "/", {}, body, 0, beyond_limit);
+        pool->start(++last, Target(peer.address), {"POST", "/", {}, std::string(body)}, {0, beyond_limit});
     }
     void until(const std::function<bool()>& so) {
         // Only keeps a broken build from standing still: a timer, as a loop with nothing to hear of would
@@ -87,7 +87,7 @@
     void answer(Peer& peer) {
         until([&] { return written; });
         if (peer.one < 0) peer.take();
-        peer.say(kAnswer);
+        peer.send_bytes(kAnswer);
         until([&] { return over; });
     }
     bool on_ready(UpstreamPool::Call call, http::Headers& headers) override {
--- a/tests/net/pool_test.cpp
+++ b/tests/net/pool_test.cpp
@@ -6,19 +6,19 @@
 
 // What had come on a kept connection before the next call was not looked at: the call was lost, or answered
 // by it.
-TEST_F(Pool, KeptConnectionOnWhichSomethingHasComeIsNotUsed) {
+TEST_F(Pool, IdleConnectionOnWhichSomethingHasComeIsNotReused) {
     const std::string kTimedOut = "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n";
     for (const auto& more : {std::string(), kAnswer, kTimedOut, kAnswer.substr(0, 9), std::string("\r\n")}) {
         open();
         Peer peer;
         call(peer);
         answer(peer);
-        if (more.empty()) peer.hang_up(false);
-        else peer.say(more);
+        if (more.empty()) peer.disconnect(false);
+        else peer.send_bytes(more);
         call(peer);
         EXPECT_EQ(pool->counts().dialled, 2U);
         EXPECT_EQ(pool->counts().stale, 1U);
-        if (!more.empty()) peer.hang_up(false);
+        if (!more.empty()) peer.disconnect(false);
         answer(peer);
         EXPECT_EQ(ending, engine::Ending::answered);
     }
@@ -26,7 +26,7 @@
 
 // Servers dropped what they had kept, with nothing to be seen of it: after a few, connections are dialled
 // anew.
-TEST_F(Pool, KeptConnectionsThatBreakAreNoLongerTrusted) {
+TEST_F(Pool, IdleConnectionsThatBreakAreNoLongerReused) {
     open();
     int broken = 0;
     for (int i = 0; i < 40; ++i) {
@@ -37,7 +37,7 @@
         call(peer);
         if (pool->counts().reused == before) break;
         until([&] { return written; });
-        peer.hang_up(true);
+        peer.disconnect(true);
         until([&] { return over; });
         ++broken;
     }
@@ -46,7 +46,7 @@
 }
 
 // A request of which the last byte was not taken never ran, whatever went before it.
-TEST_F(Pool, LastByteIsToldOnlyOnceItIsOut) {
+TEST_F(Pool, LastByteIsReportedOnlyOnceItIsOut) {
     open();
     Peer peer;
     const std::string body(32 * 1024 * 1024, 'x');
@@ -54,7 +54,7 @@
     peer.take();
     char first = 0;
     until([&] { return recv(peer.one, &first, 1, MSG_PEEK | MSG_DONTWAIT) == 1; });
-    peer.hang_up(true);
+    peer.disconnect(true);
     until([&] { return over; });
     EXPECT_FALSE(written);
 }
--- a/tests/net/rig.hpp
+++ b/tests/net/rig.hpp
@@ -113,10 +113,10 @@
         RawServer* server = nullptr;
         std::string got;
         std::vector<char> buffer = std::vector<char>(65536);
-        bool gone = false;
+        bool disconnected = false;
         std::size_t written = 0;  // bytes that the kernel has taken
         void send(std::string bytes) {
-            if (gone) return;
+            if (disconnected) return;
             struct Job {
                 uv_write_t w{};
                 std::string bytes;
@@ -132,8 +132,8 @@
             });
         }
         void close() {
-            if (gone) return;
-            gone = true;
+            if (disconnected) return;
+            disconnected = true;
             uv_close(reinterpret_cast<uv_handle_t*>(&socket), nullptr);
         }
     };
--- a/tests/net/socket_test.cpp
+++ b/tests/net/socket_test.cpp
@@ -33,7 +33,7 @@
     EXPECT_NE(last, std::string::npos);
 }
 
-TEST_F(Rig, ContinueIsSaidAndAnyChunkingOfTheBodyTaken) {
+TEST_F(Rig, ContinueIsSentAndAnyChunkingOfTheBodyAccepted) {
     start(good_write);
     RawClient& c = client();
     c.send(
@@ -102,7 +102,7 @@
     EXPECT_LT(writer->peers[0]->written, 20'000'000U);
 }
 
-TEST_F(Rig, KeptConnectionThatClosesUnderARequestMayHaveRun) {
+TEST_F(Rig, ReusedConnectionThatClosesUnderARequestMayHaveRun) {
     int count = 0;
     start([&](RawServer::Peer& p) {
         if (++count == 1) p.send(kWriteOk);
@@ -126,7 +126,7 @@
     c.send(post("m"));
     ASSERT_TRUE(until([&] { return late != nullptr; }));
     c.close();
-    ASSERT_TRUE(until([&] { return late->gone; }));  // cancelled by closing
+    ASSERT_TRUE(until([&] { return late->disconnected; }));  // cancelled by closing
     clients.clear();
     EXPECT_TRUE(served());
 }
@@ -165,7 +165,7 @@
     EXPECT_TRUE(served());
 }
 
-TEST_F(Rig, ConnectionsOverTheLimitAreClosedWhereNoneIsAtRest) {
+TEST_F(Rig, ConnectionsOverTheLimitAreClosedWhereNoneIsIdle) {
     bool answer = false;
     start(
         [&](RawServer::Peer& p) {
@@ -220,7 +220,7 @@
     RawClient& c = client();
     c.stop_reading();
     c.send(post("m"));
-    EXPECT_TRUE(until([&] { return !writer->peers.empty() && writer->peers[0]->gone; }));
+    EXPECT_TRUE(until([&] { return !writer->peers.empty() && writer->peers[0]->disconnected; }));
     EXPECT_TRUE(until([&] { return edge->gauges().open_requests == 0; }));
 }
 
@@ -308,7 +308,7 @@
 TEST_F(Rig, ListIsTakenWholeOrNotAtAll) {
     start(good_write);
     RawClient admin(loop, edge->admin_address());
-    const auto ask = [&](const std::string& body) {
+    const auto send_request = [&](const std::string& body) {
         const auto from = admin.got().size();
         admin.send("POST /servers HTTP/1.1\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
                    body);
@@ -316,16 +316,19 @@
         return admin.got().substr(from + 9, 3);
     };
     EXPECT_EQ(
-        ask(R"({"scope":"changes","servers":[{"name":"w1","kind":"w","address":"127.0.0.1:1","state":"gone"}]})"),
+        send_request(
+            R"({"scope":"changes","servers":[{"name":"w1","kind":"w","address":"127.0.0.1:1","state":"gone"}]})"),
         "400");
     EXPECT_EQ(
-        ask(R"({"scope":"complete","servers":[{"name":"a","kind":"w","address":"127.0.0.1:1"},{"name":"a","kind":"w","address":"127.0.0.1:1"}]})"),
+        send_request(
+            R"({"scope":"complete","servers":[{"name":"a","kind":"w","address":"127.0.0.1:1"},{"name":"a","kind":"w","address":"127.0.0.1:1"}]})"),
         "400");
-    EXPECT_EQ(ask(R"({"scope":"complete","servers":[{"name":"a","kind":"zz","address":"127.0.0.1:1"}]})"),
-              "400");
-    EXPECT_EQ(ask("nonsense"), "400");
+    EXPECT_EQ(
+        send_request(R"({"scope":"complete","servers":[{"name":"a","kind":"zz","address":"127.0.0.1:1"}]})"),
+        "400");
+    EXPECT_EQ(send_request("nonsense"), "400");
     EXPECT_TRUE(served());  // the last good list goes on
-    EXPECT_EQ(ask(R"({"scope":"complete","servers":[]})"), "200");
+    EXPECT_EQ(send_request(R"({"scope":"complete","servers":[]})"), "200");
     admin.send("GET /metrics HTTP/1.1\r\n\r\n");
     EXPECT_TRUE(until([&] { return admin.got().find("chalksail_requests_total") != std::string::npos; }));
     admin.close();
--- a/tests/net/system_error_test.cpp
+++ b/tests/net/system_error_test.cpp
@@ -8,7 +8,7 @@
 namespace chalksail::net {
 namespace {
 
-TEST(SystemFault, ConnectionThatIsGoneBeforeItIsAcceptedIsPassedOver) {
+TEST(SystemFault, ConnectionThatEndsBeforeItIsAcceptedIsSkipped) {
     for (const int error :
          {EINTR, ECONNABORTED, EPROTO, ENETDOWN, EHOSTUNREACH, ENETUNREACH, EPERM, ETIMEDOUT})
         EXPECT_EQ(meaning_of(SystemCall::accept, error), ErrorMeaning::again) << error;
@@ -37,7 +37,7 @@
     EXPECT_EQ(meaning_of(SystemCall::peek, EINTR), ErrorMeaning::again);
 }
 
-TEST(SystemFault, TakesLibuvsNumbersToo) {
+TEST(SystemFault, AcceptsLibuvsNumbersToo) {
     EXPECT_EQ(meaning_of(SystemCall::connect, UV_EMFILE), ErrorMeaning::shortage);
     EXPECT_EQ(meaning_of(SystemCall::connect, UV_ECONNREFUSED), ErrorMeaning::peer);
 }
--- a/tests/net/tls_socket_test.cpp
+++ b/tests/net/tls_socket_test.cpp
@@ -229,7 +229,7 @@
     ASSERT_EQ(certificate_reloader.poll(now), tls::CertificateReloader::PollResult::replaced);
     const auto issued = ca.issue({{"n"}, {}, now - 10, now + 10'000, true, 0, 0});
     const auto server = *tls::Context::server({"", "", issued.certificate, issued.key}, now);
-    const auto shake = [&] {
+    const auto handshake = [&] {
         const auto c =
             tls::Filter::client(certificate_reloader.context(), "n", &certificate_reloader.sessions(), now);
         const auto s = tls::Filter::server(server, now);
@@ -238,10 +238,10 @@
         EXPECT_TRUE(c->connected());
         return c->resumed();
     };
-    EXPECT_FALSE(shake());
+    EXPECT_FALSE(handshake());
     write("ca.pem", next.certificate() + ca.certificate());
     ASSERT_EQ(certificate_reloader.poll(now), tls::CertificateReloader::PollResult::replaced);
-    EXPECT_TRUE(shake());
+    EXPECT_TRUE(handshake());
     write("ca.pem", ca.certificate());
     ASSERT_EQ(certificate_reloader.poll(now), tls::CertificateReloader::PollResult::replaced);
     EXPECT_EQ(certificate_reloader.sessions().size(), 0U);
@@ -324,7 +324,7 @@
     void on_failed(UpstreamPool::Call, engine::Ending, std::string detail) override { failed = detail; }
 };
 
-TEST_F(TlsRig, ListenerShowsTheCertificateAskedForAndReplacesIt) {
+TEST_F(TlsRig, ListenerShowsTheRequestedCertificateAndReplacesIt) {
     const auto put = [&](const std::string& file, const std::string& name) {
         const auto issued = ca.issue({{name}, {}, now - 10, now + 10'000, true, 0, 0});
         write(file + ".pem", issued.certificate);
@@ -340,7 +340,7 @@
     log = std::make_unique<observe::Log>("t", "error");
     edge = std::make_unique<EdgeServer>(loop, s, *log);
     tls::SessionCache sessions;
-    const auto ask = [&](const std::string& name) {
+    const auto send_request = [&](const std::string& name) {
         PoolClient c;
         UpstreamPool pool(loop, c, {});
         Target to(edge->address());
@@ -350,20 +350,20 @@
         http::Headers headers;
         headers.add("Content-Type", "application/json");
         const std::string request = post("m");
-        pool.start(1, to, "POST", "/v1/chat/completions", headers,
-                   request.substr(request.find("\r\n\r\n") + 4));
+        pool.start(1, to,
+                   {"POST", "/v1/chat/completions", headers, request.substr(request.find("\r\n\r\n") + 4)});
         EXPECT_TRUE(until([&] { return c.done || !c.failed.empty(); }));
         return c.done && c.got.find("[DONE]") != std::string::npos ? std::string("served") : c.failed;
     };
-    EXPECT_EQ(ask("api.example.org"), "served");
-    EXPECT_EQ(ask("buns.tenants.example.org"), "served");
-    EXPECT_NE(ask("other.example.org").find("not verified"), std::string::npos);
+    EXPECT_EQ(send_request("api.example.org"), "served");
+    EXPECT_EQ(send_request("buns.tenants.example.org"), "served");
+    EXPECT_NE(send_request("other.example.org").find("not verified"), std::string::npos);
     put("a", "new.example.org");
     edge->reload_tls();
-    EXPECT_EQ(ask("new.example.org"), "served");
+    EXPECT_EQ(send_request("new.example.org"), "served");
     write("a.key", "nonsense");
     edge->reload_tls();
-    EXPECT_EQ(ask("new.example.org"), "served");  // the last good ones
+    EXPECT_EQ(send_request("new.example.org"), "served");  // the last good ones
     RawClient& plain = client();
     plain.send(post("m"));
     EXPECT_TRUE(until([&] { return plain.closed(); }));
@@ -376,7 +376,7 @@
     write("ca.pem", "half a certifi");
     observe::Log quiet("t", "error");
     try {
-        EdgeServer shell(loop, s, quiet);
+        EdgeServer gateway(loop, s, quiet);
         FAIL() << "started";
     } catch (const std::runtime_error& error) {
         EXPECT_NE(std::string(error.what()).find("ca.pem: trust"), std::string::npos) << error.what();
--- a/tests/net/tls_test.cpp
+++ b/tests/net/tls_test.cpp
@@ -40,7 +40,7 @@
     static void carry(Filter& client, Filter& server, Step from_client, Step from_server, Talk& talk,
                       std::size_t cut = 0) {
         const auto take = [](Step& step, std::string& got, std::unique_ptr<Fault>& fault) {
-            got += step.plain;
+            got += step.plaintext;
             if (step.fault && !fault) fault = std::move(step.fault);
         };
         std::string to_server, to_client;
@@ -252,7 +252,7 @@
               kNow + kDay);
 }
 
-TEST_F(Tls, ClientsProveThemselvesWhereAsked) {
+TEST_F(Tls, ClientsAuthenticateWhereRequired) {
     const auto issued = ca.issue(good_wish());
     const auto server = *Context::server({ca.certificate(), "", issued.certificate, issued.key}, kNow);
     EXPECT_EQ(try_server(server).server_got, "");  // no certificate
@@ -313,7 +313,7 @@
 
 // ---- ends ----
 
-TEST_F(Tls, ServerShowsTheCertificateThatTheClientAsksFor) {
+TEST_F(Tls, ServerShowsTheCertificateThatTheClientRequests) {
     const auto material = [&](const std::string& name) {
         const auto issued = ca.issue({{name}, {}, kNow - kDay, kNow + kDay, true, 0, 0});
         return Material{"", "", issued.certificate, issued.key};
@@ -395,7 +395,7 @@
     (void)try_server(context);
     EXPECT_EQ(client->from_peer(std::string("\x17\x03\x03\x00\x20", 5) + std::string(32, 'x')).fault->kind,
               FaultKind::protocol);
-    EXPECT_EQ(client->from_peer("more").plain, "");  // it is over
+    EXPECT_EQ(client->from_peer("more").plaintext, "");  // it is over
     (void)try_server(context);
     Step bad = peer->from_peer(std::string("\x17\x03\x03\x00\x20", 5) + std::string(32, 'x'));
     ASSERT_NE(bad.fault, nullptr);
@@ -419,7 +419,7 @@
         if (some >= answer.size()) break;  // signatures differ in length
         const Step step = c->from_peer(answer.substr(0, some));
         EXPECT_FALSE(c->connected());
-        EXPECT_EQ(step.plain, "");
+        EXPECT_EQ(step.plaintext, "");
     }
 }
 
@@ -443,7 +443,7 @@
         ASSERT_NE(step.fault, nullptr) << "after " << until << " bytes";
         EXPECT_EQ(step.fault->kind, FaultKind::protocol);
         EXPECT_FALSE(c->connected());
-        EXPECT_EQ(step.plain, "");
+        EXPECT_EQ(step.plaintext, "");
     }
     EXPECT_GE(steps, 3U);
 }
@@ -501,7 +501,7 @@
     const std::string asks = sent();
     ASSERT_FALSE(asks.empty());
     const auto answer = c->from_peer(asks);
-    EXPECT_EQ(answer.plain, "");
+    EXPECT_EQ(answer.plaintext, "");
     ASSERT_GT(answer.to_peer.size(), 5U);
     EXPECT_EQ(answer.to_peer[0], '\x15');  // an alert, and no ClientHello
     take(answer.to_peer);
--- a/tests/net/wall_clock_step_test.cpp
+++ b/tests/net/wall_clock_step_test.cpp
@@ -52,10 +52,10 @@
     }
     static std::string list(const std::string& id, std::int64_t started_ms, int generation,
                             bool whole = true) {
-        auto entry = told::instance(id, "writer", "127.0.0.1:9");
+        auto entry = messages::instance(id, "writer", "127.0.0.1:9");
         const std::string zero = "\"startedAtMs\":0";
         entry.replace(entry.find(zero), zero.size(), "\"startedAtMs\":" + std::to_string(started_ms));
-        return told::list_text(entry, generation, whole) + "\n";
+        return messages::list_text(entry, generation, whole) + "\n";
     }
     // How long ago the server of the last list started, by the clock that the module goes by.
     [[nodiscard]] Duration age() const {
@@ -69,7 +69,7 @@
 };
 
 // Guards against a cold server that is taken for a warm one, or a warm one for a cold one.
-TEST_F(WallClockStep, ServersThatStartBehindAStepAreColdForTheRightTime) {
+TEST_F(WallClockStep, ServersThatStartBehindAStepWarmUpForTheRightTime) {
     for (const auto step :
          {std::chrono::seconds(-3600), std::chrono::seconds(3600), std::chrono::seconds(-7)}) {
         begin();
@@ -85,7 +85,7 @@
 }
 
 // Guards against servers that seem to have started anew as the wall clock has moved.
-TEST_F(WallClockStep, ServerToldAgainBehindAStepIsTheSame) {
+TEST_F(WallClockStep, ServerListedAgainBehindAStepIsTheSame) {
     begin();
     const auto started = wall_ms() - 4000;
     tell("w", started);
