--- a/src/net/admin.hpp
+++ b/src/net/admin.hpp
@@ -1,11 +1,14 @@
-// The admin listener's words: the list of servers as JSON, in and out. Bytes <-> typed values; no I/O.
+// The admin listener's formats, and the two sources of endpoint lists that need no service: the settings, and
+// what is posted to the admin listener. Bytes <-> typed values; no I/O. Errors are texts that say what is
+// wrong and where.
 //
-//   POST /servers  {"scope": "complete" | "changes", "servers": [{"name", "address", "kind", "zone", "cell",
-//   "weight",
-//                   "state": "up" | "draining" | "removed", "started_unix_ms"}]}   taken whole or not at all
-//   GET  /servers  the same shape, as the edge has it
+//   POST /servers  accepted whole or not at all:
+//                  {"scope": "complete" | "changes",
+//                   "servers": [{"name", "address", "kind", "zone", "cell", "weight",
+//                                "state": "up" | "draining" | "removed", "started_unix_ms"}]}
+//   GET  /servers  the same, as the gateway has it
 //   GET  /metrics  Prometheus text
-//   GET  /health   200 while requests are taken, 503 while draining
+//   GET  /health   200 while requests are accepted, 503 while draining
 #pragma once
 
 #include <optional>
@@ -20,7 +23,7 @@
 
 namespace chalksail::net {
 
-// Wall clock to the edge's: what to add to a time since 1970 to get a Time.
+// What to add to a wall clock time since 1970 to get a Time.
 struct ClockOffset {
     Duration value{};
 };
@@ -31,7 +34,7 @@
 [[nodiscard]] std::string format_server_list(const std::vector<membership::EndpointConfig>& servers,
                                              ClockOffset offset);
 
-// The settings' own servers, told once as a complete list.
+// The settings' own servers, given once as a snapshot.
 class SettingsSource : public membership::ListSource {
 public:
     explicit SettingsSource(const config::EdgeSettings& settings) : settings_(settings) {}
@@ -47,7 +50,7 @@
     AdminSource(std::set<std::string> kinds, ClockOffset offset)
         : kinds_(std::move(kinds)), offset_(offset) {}
     void start(membership::ListSink& sink) override { sink_ = &sink; }
-    // Takes a POST /servers: an error text, or nothing once the list is in force.
+    // Handles a POST /servers: an error text, or nothing once the list is in force.
     [[nodiscard]] std::optional<std::string> post(std::string_view body);
     [[nodiscard]] ClockOffset offset() const { return offset_; }
 
--- a/src/net/system_error.cpp
+++ b/src/net/system_error.cpp
@@ -31,7 +31,7 @@
     }
 }
 
-// In the call itself nothing has been heard of the other side: no port, no route or no memory here. EALREADY
+// In the call itself nothing was received from the peer: no port, no route or no memory here. EALREADY
 // and EINPROGRESS stand behind a call that was interrupted.
 ErrorMeaning of_connect(int error) {
     switch (error) {
--- a/src/net/tcp_connection.cpp
+++ b/src/net/tcp_connection.cpp
@@ -64,8 +64,7 @@
     const auto size = recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     if (size > 0) return Unread::bytes;
     if (size == 0) return Unread::end;
-    // Guards against taking a failure of the check itself for what it would have found: the loop's read
-    // tells.
+    // Guards against taking a failure of the check itself for its result: the loop's read will show it.
     switch (meaning_of(SystemCall::peek, errno)) {
         case ErrorMeaning::nothing_yet: return Unread::nothing;
         case ErrorMeaning::peer: return Unread::end;
--- a/src/net/tcp_connection.hpp
+++ b/src/net/tcp_connection.hpp
@@ -2,7 +2,7 @@
 // queue. HTTP, and when to read, write and close, is the business of the classes that derive from it.
 //
 // It is owned by an OwnedConnection. When that goes the socket is closed at once, and the object is deleted
-// in a later turn of the loop: code that still has a reference in this turn may look at it. No callback comes
+// in a later turn of the loop: code that still has a reference in this turn may use it. No callback comes
 // after the close. One loop, one thread. Errors are libuv's error numbers, below zero.
 #pragma once
 
@@ -38,7 +38,7 @@
 
     // Takes over the descriptor of an accepted connection, where it returns 0.
     int open(int descriptor) { return uv_tcp_open(&socket_, descriptor); }
-    // Begins to connect; on_connected() tells the end of it. May be called again after an error.
+    // Begins to connect; on_connected() reports the result. May be called again after an error.
     int connect(const Address& address);
     void set_no_delay() { uv_tcp_nodelay(&socket_, 1); }
 
@@ -48,7 +48,8 @@
     enum class Unread { nothing, bytes, end, unknown };
     [[nodiscard]] Unread peek() const;
 
-    // Hands bytes to the socket, in order. What it does not take at once is kept, and written by the loop.
+    // Hands bytes to the socket, in order. What it does not accept at once is queued, and written by the
+    // loop.
     int write(std::string bytes);
     // Bytes that the kernel has not taken yet. Asked of the socket's queue, not of libuv's callbacks: these
     // may come a turn after the bytes were handed to the kernel, or not at all once the handle is closed.
--- a/src/net/tls/certificate_reloader.cpp
+++ b/src/net/tls/certificate_reloader.cpp
@@ -6,6 +6,8 @@
 namespace chalksail::net::tls {
 namespace {
 
+std::string in_file(const std::string& file, const std::string& text) { return file + ": " + text; }
+
 bool read(const std::string& file, std::string& out, std::string& error) {
     if (file.empty()) return true;
     std::ifstream in(file, std::ios::binary);
@@ -37,7 +39,7 @@
                               : text.starts_with("revocation") ? config.revocation
                               : text.starts_with("key")        ? config.key
                                                                : config.certificate;
-    return tl::unexpected(file + ": " + text);
+    return tl::unexpected(in_file(file, text));
 }
 
 tl::expected<std::vector<Material>, std::string> read_files(const config::ListenerTls& config) {
@@ -63,7 +65,7 @@
         const std::string& file = text.starts_with("trust") ? config.clients
                                   : text.starts_with("key") ? pair.key
                                                             : pair.certificate;
-        return tl::unexpected(file + ": " + text);
+        return tl::unexpected(in_file(file, text));
     }
     return Context::server(materials, unix_now);
 }
--- a/src/net/tls/session_cache.cpp
+++ b/src/net/tls/session_cache.cpp
@@ -1,7 +1,5 @@
 #include "net/tls/session_cache.hpp"
 
-#include <openssl/ssl.h>
-
 #include <algorithm>
 
 namespace chalksail::net::tls {
@@ -33,7 +31,7 @@
     const auto it = names_.find(name);
     if (it == names_.end()) return nullptr;
     auto& entries = it->second.entries;
-    // Guards against a certificate that ran out: a handshake that resumes does not look at its times again.
+    // Guards against a certificate that ran out: a resumed handshake does not check its times again.
     std::erase_if(entries, [&](const Entry& k) { return k.until <= unix_now; });
     if (entries.empty()) {
         drop(name);
--- a/src/net/tls/session_cache.hpp
+++ b/src/net/tls/session_cache.hpp
@@ -2,6 +2,8 @@
 // used once (RFC 8446, C.4); one of 1.2 stays until it is old. No I/O; the time of day is an argument.
 #pragma once
 
+#include <openssl/ssl.h>
+
 #include <cstddef>
 #include <cstdint>
 #include <list>
@@ -9,9 +11,6 @@
 #include <memory>
 #include <string>
 
-struct ssl_session_st;
-using SSL_SESSION = ssl_session_st;  // as OpenSSL declares it
-
 namespace chalksail::net::tls {
 
 struct SessionDeleter {
--- a/src/net/turn_scheduler.hpp
+++ b/src/net/turn_scheduler.hpp
@@ -1,5 +1,5 @@
 // Ties a step-by-step state machine to a libuv loop: runs it once in each turn of the loop, behind the reads
-// of the sockets, and wakes the loop at the time that it asks for. One loop, one thread; no errors.
+// of the sockets, and wakes the loop at the time that it requests. One loop, one thread; no errors.
 #pragma once
 
 #include <uv.h>
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -4,7 +4,7 @@
 // owner; nothing is sent twice here. A call on a reused connection that the server has closed meanwhile ends
 // as "closed" like any other break: it may have run.
 //
-// Whether a request's last byte is out is asked of the socket's write queue, never of libuv's write
+// Whether a request's last byte is out is read from the socket's write queue, never from libuv's write
 // callbacks: these may run a turn after the bytes were handed to the kernel, or not at all once the handle is
 // closed. report_written() brings the owner up to date and is to be called before anything is decided about a
 // call.
--- a/tests/net/tls_socket_test.cpp
+++ b/tests/net/tls_socket_test.cpp
@@ -312,7 +312,7 @@
 
 // ---- the listener ----
 
-// ProtocolKind to the edge through the pool, as any client with TLS.
+// Connects to the edge through the pool, as any client with TLS.
 struct PoolClient : UpstreamPool::Handler {
     std::string got;
     int status = 0;
@@ -370,6 +370,40 @@
     EXPECT_EQ(plain.got().find("HTTP/1.1 200"), std::string::npos);
 }
 
+// Ends each connection behind its first response.
+struct ClosingHandler : HttpServer::Handler {
+    HttpServer* server = nullptr;
+    void on_request(HttpServer::Peer peer, http::Request) override {
+        http::Headers headers;
+        headers.add("Connection", "close");
+        server->reply(peer, 200, std::move(headers), "x");
+        server->flush();
+    }
+    void on_closed(HttpServer::Peer, const ConnectionEnd&) override {}
+};
+
+// Guards against a closed connection that stays among the idle ones: the next sweep would look for it in
+// vain.
+TEST_F(TlsRig, ConnectionThatEndsBehindItsResponseIsForgotten) {
+    ServerLimits limits;
+    limits.idle_connections.linger = std::chrono::milliseconds(1);
+    ClosingHandler handler;
+    HttpServer server(loop, handler, limits);
+    handler.server = &server;
+    const auto issued = ca.issue({{"api.example.org"}, {}, now - 10, now + 10'000, true, 0, 0});
+    server.set_tls(*tls::Context::server({"", "", issued.certificate, issued.key}, now));
+    PoolClient c;
+    UpstreamPool pool(loop, c, {});
+    Target to(server.listen({"127.0.0.1", 0}, HttpServer::Transport::tls));
+    to.tls = *tls::Context::client({ca.certificate(), "", "", ""}, now);
+    to.tls_name = "api.example.org";
+    pool.start(1, to, {"GET", "/", {}, {}});
+    EXPECT_TRUE(until([&] { return c.done && server.counts().connections == 0; }));
+    // Two sweeps of the server and more.
+    const Time later = uv_now_time() + std::chrono::milliseconds(600);
+    EXPECT_TRUE(until([&] { return uv_now_time() > later; }));
+}
+
 TEST_F(TlsRig, BadFilesAreRefusedAtTheStart) {
     TlsEngine& one = engine("x");
     const auto s = settings(one, one);
