--- a/bench/edge_bench.cpp
+++ b/bench/edge_bench.cpp
@@ -226,7 +226,7 @@
             if (tls == nullptr) continue;
             servers.back()->set_tls(tls);
             tls_addresses.push_back(
-                servers.back()->listen({"127.0.0.1", 0}, net::HttpServer::ProtocolKind::tls));
+                servers.back()->listen({"127.0.0.1", 0}, net::HttpServer::Transport::tls));
         }
     }
     void on_request(net::HttpServer::Peer, http::Request) override {}
@@ -315,7 +315,7 @@
     void send(net::UpstreamPool::Call call, const std::string& what) {
         http::Headers headers;
         headers.add("Content-Type", "application/json");
-        pool.start(call, target, "POST", engine::kChatPath, std::move(headers), what);
+        pool.start(call, target, {"POST", std::string(engine::kChatPath), std::move(headers), what});
     }
     void top_up() {
         while (asked.size() < keep) ask();
--- a/bench/tls_bench.cpp
+++ b/bench/tls_bench.cpp
@@ -131,7 +131,7 @@
           pool(l, static_cast<net::UpstreamPool::Handler&>(*this), {}) {
         server.set_tls(std::move(context));
         clear = server.listen({"127.0.0.1", 0});
-        tls = server.listen({"127.0.0.1", 0}, net::HttpServer::ProtocolKind::tls);
+        tls = server.listen({"127.0.0.1", 0}, net::HttpServer::Transport::tls);
     }
     void on_request(net::HttpServer::Peer p, http::Request) override {
         peer = p;
@@ -153,7 +153,7 @@
         peer = 0;
         const std::string part(piece, 'x');
         const double begin = cpu_us();
-        pool.start(++last, to, "GET", "/", {}, "");
+        pool.start(++last, to, {"GET", "/", {}, {}});
         std::size_t sent = 0;
         while (!done) {
             uv_run(&loop, UV_RUN_NOWAIT);
--- a/src/net/tls/certificate_reloader.cpp
+++ b/src/net/tls/certificate_reloader.cpp
@@ -6,6 +6,8 @@
 namespace chalksail::net::tls {
 namespace {
 
+std::string in_file(const std::string& file, const std::string& text) { return file + ": " + text; }
+
 bool read(const std::string& file, std::string& out, std::string& error) {
     if (file.empty()) return true;
     std::ifstream in(file, std::ios::binary);
@@ -37,7 +39,7 @@
                               : text.starts_with("revocation") ? config.revocation
                               : text.starts_with("key")        ? config.key
                                                                : config.certificate;
-    return tl::unexpected(file + ": " + text);
+    return tl::unexpected(in_file(file, text));
 }
 
 tl::expected<std::vector<Material>, std::string> read_files(const config::ListenerTls& config) {
@@ -63,14 +65,14 @@
         const std::string& file = text.starts_with("trust") ? config.clients
                                   : text.starts_with("key") ? pair.key
                                                             : pair.certificate;
-        return tl::unexpected(file + ": " + text);
+        return tl::unexpected(in_file(file, text));
     }
     return Context::server(materials, unix_now);
 }
 
 namespace {
 
-// SessionCache verified under `old` would be verified under `next` too: nothing was taken from what is
+// Sessions verified under `old` would be verified under `next` too: nothing was taken from what is
 // trusted.
 bool trusts_all_of(const Material& next, const Material& old) {
     if (next.revocation != old.revocation || next.certificate != old.certificate) return false;
@@ -87,8 +89,12 @@
 
 std::string joined(const std::vector<Material>& all) {
     std::string out;
-    for (const auto& m : all)
-        out += m.trust + '\0' + m.revocation + '\0' + m.certificate + '\0' + m.key + '\0';
+    for (const auto& material : all)
+        for (const auto* text :
+             {&material.trust, &material.revocation, &material.certificate, &material.key}) {
+            out += *text;
+            out += '\0';
+        }
     return out;
 }
 
@@ -105,8 +111,8 @@
         else unread = m.error();
     }
     const std::string now = unread.empty() ? joined(materials) : unread;
-    if (now == seen_) return PollResult::unchanged;
-    seen_ = now;
+    if (now == last_read_) return PollResult::unchanged;
+    last_read_ = now;
     Context::Result next = tl::unexpected(unread);
     if (unread.empty()) {
         if (const auto* client = std::get_if<config::TlsConfig>(&config_))
@@ -120,8 +126,8 @@
     context_ = std::move(*next);
     error_.clear();
     // What was verified by a trust that is narrower now, or under another name of ours, is not resumed.
-    if (!trusts_all_of(materials.front(), good_)) sessions_.clear();
-    good_ = std::move(materials.front());
+    if (!trusts_all_of(materials.front(), used_material_)) sessions_.clear();
+    used_material_ = std::move(materials.front());
     return PollResult::replaced;
 }
 
--- a/src/net/tls/session_cache.hpp
+++ b/src/net/tls/session_cache.hpp
@@ -1,7 +1,9 @@
-// SessionCache to resume, by the name of the server that gave them. Bounded and aged. A session of TLS 1.3 is
+// TLS sessions to resume, by the name of the server that gave them. Bounded and aged. A session of TLS 1.3 is
 // used once (RFC 8446, C.4); one of 1.2 stays until it is old. No I/O; the time of day is an argument.
 #pragma once
 
+#include <openssl/ssl.h>
+
 #include <cstddef>
 #include <cstdint>
 #include <list>
@@ -9,8 +11,6 @@
 #include <memory>
 #include <string>
 
-typedef struct ssl_session_st SSL_SESSION;
-
 namespace chalksail::net::tls {
 
 struct SessionDeleter {
@@ -37,13 +37,13 @@
     [[nodiscard]] std::size_t size() const;
 
 private:
-    struct Kept {
+    struct Entry {
         Session session;
         std::int64_t until = 0;
     };
     struct Name {
-        std::list<Kept> kept;  // oldest first
-        std::list<std::string>::iterator place;
+        std::list<Entry> entries;  // oldest first
+        std::list<std::string>::iterator position;
     };
     void drop(const std::string& name);
 
