--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -8,29 +8,35 @@
 #include <optional>
 #include <utility>
 
+#include "http/chunk_reader.hpp"
+
 namespace chalksail::http {
 namespace {
 
 char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + ('a' - 'A')) : c; }
 
-// Collects a head from http-parser's callbacks, counting its bytes.
+// Bytes reserved for a request body at its head, however long the client says it is.
+constexpr std::size_t kBodyReserveMost = 64 * 1024;
+
+// Collects a head from http-parser's callbacks and counts its bytes.
 struct HeadBuilder {
     Headers headers;
     bool in_value = false;
     std::size_t bytes = 0;
 
-    bool name(const char* at, std::size_t length, std::size_t limit) {
-        if ((bytes += length) > limit) return false;
+    // Both return false if the head outgrows `limit` bytes.
+    bool add_to_name(std::string_view part, std::size_t limit) {
+        if ((bytes += part.size()) > limit) return false;
         if (in_value || headers.all().empty()) headers.add({}, {});
         in_value = false;
-        headers.all().back().name.append(at, length);
+        headers.all().back().name += part;
         return true;
     }
-    bool value(const char* at, std::size_t length, std::size_t limit) {
-        if ((bytes += length) > limit) return false;
+    bool add_to_value(std::string_view part, std::size_t limit) {
+        if ((bytes += part.size()) > limit) return false;
         if (headers.all().empty()) return false;
         in_value = true;
-        headers.all().back().value.append(at, length);
+        headers.all().back().value += part;
         return true;
     }
     // http-parser leaves the white space after a value, which is no part of it (RFC 9112, 5).
@@ -41,7 +47,7 @@
     }
 };
 
-std::string parser_says(http_parser& parser) { return http_errno_description(HTTP_PARSER_ERRNO(&parser)); }
+std::string parser_error(http_parser& parser) { return http_errno_description(HTTP_PARSER_ERRNO(&parser)); }
 
 }  // namespace
 
@@ -70,77 +76,96 @@
 // ---- requests ----
 
 struct RequestReader::State {
+    explicit State(Limits message_limits) : limits(message_limits) {
+        http_parser_settings_init(&callbacks);
+        callbacks.on_url = [](http_parser* p, const char* at, std::size_t n) {
+            return of(p).on_target({at, n});
+        };
+        callbacks.on_header_field = [](http_parser* p, const char* at, std::size_t n) {
+            return of(p).on_header_name({at, n});
+        };
+        callbacks.on_header_value = [](http_parser* p, const char* at, std::size_t n) {
+            return of(p).on_header_value({at, n});
+        };
+        callbacks.on_headers_complete = [](http_parser* p) { return of(p).on_head_complete(); };
+        callbacks.on_body = [](http_parser* p, const char* at, std::size_t n) {
+            return of(p).on_body({at, n});
+        };
+        callbacks.on_message_complete = [](http_parser* p) { return of(p).on_complete(); };
+        begin();
+    }
+    // Makes ready for the next request on the connection.
+    void begin() {
+        http_parser_init(&parser, HTTP_REQUEST);
+        parser.data = this;
+        request = {};
+        head = {};
+        head_complete = complete = continue_expected = false;
+        fault.reset();
+    }
+
     Limits limits;
     http_parser parser{};
     http_parser_settings callbacks{};
     Request request;
     HeadBuilder head;
-    bool head_done = false;
-    bool whole = false;
-    bool want_continue = false;
+    bool head_complete = false;
+    bool complete = false;
+    bool continue_expected = false;
     std::optional<Fault> fault;
 
+private:
+    // What http-parser's callbacks return: go on, or stop with an error.
+    static constexpr int kContinueParsing = 0;
+    static constexpr int kStopParsing = 1;
+
     static State& of(http_parser* p) { return *static_cast<State*>(p->data); }
-    int refuse(int status, std::string text) {
+    int fail(int status, std::string text) {
         fault = Fault{status, std::move(text)};
-        return 1;
+        return kStopParsing;
     }
-    void begin() {
-        http_parser_init(&parser, HTTP_REQUEST);
-        parser.data = this;
-        request = {};
-        head = {};
-        head_done = whole = want_continue = false;
-        fault.reset();
+    int head_too_large() { return fail(431, "request head too large"); }
+    int body_too_large() { return fail(413, "request body too large"); }
+
+    int on_target(std::string_view bytes) {
+        head.bytes += bytes.size();
+        if (head.bytes > limits.head_bytes) return head_too_large();
+        request.target += bytes;
+        return kContinueParsing;
     }
-    explicit State(Limits l) : limits(l) {
-        http_parser_settings_init(&callbacks);
-        callbacks.on_url = [](http_parser* p, const char* at, std::size_t n) {
-            State& s = of(p);
-            if ((s.head.bytes += n) > s.limits.head_bytes) return s.refuse(431, "request head too large");
-            s.request.target.append(at, n);
-            return 0;
-        };
-        callbacks.on_header_field = [](http_parser* p, const char* at, std::size_t n) {
-            State& s = of(p);
-            return s.head.name(at, n, s.limits.head_bytes) ? 0 : s.refuse(431, "request head too large");
-        };
-        callbacks.on_header_value = [](http_parser* p, const char* at, std::size_t n) {
-            State& s = of(p);
-            return s.head.value(at, n, s.limits.head_bytes) ? 0 : s.refuse(431, "request head too large");
-        };
-        callbacks.on_headers_complete = [](http_parser* p) {
-            State& s = of(p);
-            s.head_done = true;
-            s.request.headers = s.head.take();
-            s.request.method = http_method_str(static_cast<http_method>(p->method));
-            s.request.http_1_0 = p->http_major == 1 && p->http_minor == 0;
-            s.request.keep_alive = http_should_keep_alive(p) != 0;
-            if (p->http_major != 1) return s.refuse(505, "HTTP/1.1 wanted");
-            const bool sized = p->content_length != ULLONG_MAX;
-            if (sized && p->content_length > s.limits.body_bytes)
-                return s.refuse(413, "request body too large");
-            if (const auto expect = s.request.headers.get("expect"); !expect.empty()) {
-                if (!same_name(expect, "100-continue")) return s.refuse(417, "unknown expectation");
-                s.want_continue = !s.request.http_1_0;
-            }
-            if (sized) s.request.body.reserve(std::min<std::size_t>(p->content_length, 64 * 1024));
-            return 0;
-        };
-        callbacks.on_body = [](http_parser* p, const char* at, std::size_t n) {
-            State& s = of(p);
-            s.want_continue = false;
-            if (s.request.body.size() + n > s.limits.body_bytes)
-                return s.refuse(413, "request body too large");
-            s.request.body.append(at, n);
-            return 0;
-        };
-        callbacks.on_message_complete = [](http_parser* p) {
-            of(p).whole = true;
-            http_parser_pause(p, 1);
-            return 0;
-        };
-        begin();
+    int on_header_name(std::string_view bytes) {
+        return head.add_to_name(bytes, limits.head_bytes) ? kContinueParsing : head_too_large();
+    }
+    int on_header_value(std::string_view bytes) {
+        return head.add_to_value(bytes, limits.head_bytes) ? kContinueParsing : head_too_large();
+    }
+    int on_head_complete() {
+        head_complete = true;
+        request.headers = head.take();
+        request.method = http_method_str(static_cast<http_method>(parser.method));
+        request.http_1_0 = parser.http_major == 1 && parser.http_minor == 0;
+        request.keep_alive = http_should_keep_alive(&parser) != 0;
+        if (parser.http_major != 1) return fail(505, "HTTP/1.1 wanted");
+        const bool has_length = parser.content_length != ULLONG_MAX;
+        if (has_length && parser.content_length > limits.body_bytes) return body_too_large();
+        if (const auto expect = request.headers.get("expect"); !expect.empty()) {
+            if (!same_name(expect, "100-continue")) return fail(417, "unknown expectation");
+            continue_expected = !request.http_1_0;
+        }
+        if (has_length) request.body.reserve(std::min<std::size_t>(parser.content_length, kBodyReserveMost));
+        return kContinueParsing;
+    }
+    int on_body(std::string_view bytes) {
+        continue_expected = false;
+        if (request.body.size() + bytes.size() > limits.body_bytes) return body_too_large();
+        request.body += bytes;
+        return kContinueParsing;
+    }
+    // Pauses the parser: what follows belongs to the next request.
+    int on_complete() {
+        complete = true;
+        http_parser_pause(&parser, 1);
+        return kContinueParsing;
     }
 };
 
@@ -148,7 +173,7 @@
 RequestReader::~RequestReader() = default;
 RequestReader::RequestReader(RequestReader&&) noexcept = default;
 RequestReader& RequestReader::operator=(RequestReader&&) noexcept = default;
-bool RequestReader::in_body() const { return state_->head_done; }
+bool RequestReader::in_body() const { return state_->head_complete; }
 std::size_t RequestReader::body_bytes() const { return state_->request.body.size(); }
 
 RequestReader::Progress RequestReader::feed(std::string_view& bytes) {
@@ -156,160 +181,108 @@
     const std::size_t used = http_parser_execute(&s.parser, &s.callbacks, bytes.data(), bytes.size());
     bytes.remove_prefix(std::min(used, bytes.size()));
     if (s.fault) return *s.fault;
-    if (s.whole) {
+    if (s.complete) {
         Request out = std::move(s.request);
         s.begin();
         return out;
     }
     const auto error = HTTP_PARSER_ERRNO(&s.parser);
     if (error == HPE_HEADER_OVERFLOW) return Fault{431, "request head too large"};
-    if (error != HPE_OK || s.parser.upgrade != 0) return Fault{400, "not HTTP/1.1: " + parser_says(s.parser)};
-    const bool say = s.want_continue;
-    s.want_continue = false;
-    return NeedMore{say};
-}
-
-// ---- chunks ----
-
-bool ChunkReader::feed(std::string_view& bytes, std::string& body) {
-    while (!bytes.empty() && state_ != State::whole) {
-        if (state_ == State::data) {
-            const auto n = static_cast<std::size_t>(std::min<std::uint64_t>(left_, bytes.size()));
-            body.append(bytes.substr(0, n));
-            bytes.remove_prefix(n);
-            left_ -= n;
-            if (left_ == 0) state_ = State::data_cr;
-            continue;
-        }
-        const char c = bytes.front();
-        bytes.remove_prefix(1);
-        switch (state_) {
-            case State::size: {
-                const char l = lower(c);
-                const int digit = c >= '0' && c <= '9' ? c - '0' : l >= 'a' && l <= 'f' ? l - 'a' + 10 : -1;
-                if (digit >= 0) {
-                    if (++digits_ > 16) return false;
-                    left_ = left_ * 16 + static_cast<std::uint64_t>(digit);
-                    if (left_ > limits_.chunk_bytes) return false;
-                    break;
-                }
-                if (digits_ == 0) return false;
-                if (c == '\r') state_ = State::size_end;
-                else if (c == ';' || c == ' ' || c == '\t') state_ = State::extension;
-                else return false;
-                break;
-            }
-            case State::extension:
-                if (++aside_ > limits_.head_bytes || c == '\n') return false;
-                if (c == '\r') state_ = State::size_end;
-                break;
-            case State::size_end:
-                if (c != '\n') return false;
-                digits_ = 0;
-                state_ = left_ == 0 ? State::trailer : State::data;
-                break;
-            case State::data_cr:
-                if (c != '\r') return false;
-                state_ = State::data_lf;
-                break;
-            case State::data_lf:
-                if (c != '\n') return false;
-                state_ = State::size;
-                break;
-            case State::trailer:
-                if (++aside_ > limits_.head_bytes || c == '\n') return false;
-                if (c == '\r') state_ = State::trailer_end;
-                else line_empty_ = false;
-                break;
-            case State::trailer_end:
-                if (c != '\n') return false;
-                state_ = line_empty_ ? State::whole : State::trailer;
-                line_empty_ = true;
-                break;
-            case State::data:
-            case State::whole: break;
-        }
-    }
-    return true;
+    if (error != HPE_OK || s.parser.upgrade != 0)
+        return Fault{400, "not HTTP/1.1: " + parser_error(s.parser)};
+    return NeedMore{std::exchange(s.continue_expected, false)};
 }
 
 // ---- responses ----
 
 struct ResponseReader::State {
+    explicit State(Limits message_limits) : limits(message_limits) {
+        http_parser_settings_init(&callbacks);
+        callbacks.on_message_begin = [](http_parser* p) { return of(p).on_begin(); };
+        callbacks.on_status = [](http_parser* p, const char*, std::size_t n) { return of(p).on_reason(n); };
+        callbacks.on_header_field = [](http_parser* p, const char* at, std::size_t n) {
+            return of(p).on_header_name({at, n});
+        };
+        callbacks.on_header_value = [](http_parser* p, const char* at, std::size_t n) {
+            return of(p).on_header_value({at, n});
+        };
+        callbacks.on_headers_complete = [](http_parser* p) { return of(p).on_head_complete(); };
+        callbacks.on_body = [](http_parser* p, const char* at, std::size_t n) {
+            return of(p).on_body({at, n});
+        };
+        callbacks.on_message_complete = [](http_parser* p) { return of(p).on_complete(); };
+        begin();
+    }
+    // Makes ready for the next response on the connection.
+    void begin() {
+        http_parser_init(&parser, HTTP_RESPONSE);
+        parser.data = this;
+        head = {};
+        begun = complete = head_too_large = keep_alive = false;
+        chunks.reset();
+        parsed.clear();
+    }
+
     Limits limits;
     http_parser parser{};
     http_parser_settings callbacks{};
     HeadBuilder head;
     bool begun = false;
-    bool whole = false;
-    bool over_limit = false;
-    bool keep_alive = false;  // as its head says
-    std::optional<ChunkReader> chunks;
-    std::vector<ResponsePiece> pieces;
+    bool complete = false;
+    bool head_too_large = false;
+    bool keep_alive = false;            // by its head; used for chunked bodies
+    std::optional<ChunkReader> chunks;  // set while a chunked body is read
+    std::vector<ResponsePiece> parsed;  // since the last feed()
 
+private:
     static State& of(http_parser* p) { return *static_cast<State*>(p->data); }
-    void begin() {
-        http_parser_init(&parser, HTTP_RESPONSE);
-        parser.data = this;
+    // Informational responses (1xx) come before the one that is waited for.
+    [[nodiscard]] bool informational() const { return parser.status_code < 200; }
+    // What a callback returns after the head has grown: 1 stops the parser with an error.
+    int check_head(bool within_limit) {
+        head_too_large = !within_limit;
+        return within_limit ? 0 : 1;
+    }
+
+    int on_begin() {
+        begun = true;
+        return 0;
+    }
+    int on_reason(std::size_t bytes) {
+        head.bytes += bytes;
+        return check_head(head.bytes <= limits.head_bytes);
+    }
+    int on_header_name(std::string_view bytes) {
+        return check_head(head.add_to_name(bytes, limits.head_bytes));
+    }
+    int on_header_value(std::string_view bytes) {
+        return check_head(head.add_to_value(bytes, limits.head_bytes));
+    }
+    int on_head_complete() {
+        if (!informational())
+            parsed.emplace_back(ResponseHead{static_cast<int>(parser.status_code), head.take()});
         head = {};
-        begun = whole = over_limit = keep_alive = false;
-        chunks.reset();
-        pieces.clear();
+        if (informational() || (parser.flags & F_CHUNKED) == 0) return 0;
+        keep_alive = http_should_keep_alive(&parser) != 0;
+        chunks.emplace(limits);
+        return 1;  // tells http-parser that there is no body: ChunkReader reads it
     }
-    explicit State(Limits l) : limits(l) {
-        http_parser_settings_init(&callbacks);
-        callbacks.on_message_begin = [](http_parser* p) {
-            of(p).begun = true;
-            return 0;
-        };
-        callbacks.on_status = [](http_parser* p, const char*, std::size_t n) {
-            State& s = of(p);
-            s.over_limit = (s.head.bytes += n) > s.limits.head_bytes;
-            return s.over_limit ? 1 : 0;
-        };
-        callbacks.on_header_field = [](http_parser* p, const char* at, std::size_t n) {
-            State& s = of(p);
-            s.over_limit = !s.head.name(at, n, s.limits.head_bytes);
-            return s.over_limit ? 1 : 0;
-        };
-        callbacks.on_header_value = [](http_parser* p, const char* at, std::size_t n) {
-            State& s = of(p);
-            s.over_limit = !s.head.value(at, n, s.limits.head_bytes);
-            return s.over_limit ? 1 : 0;
-        };
-        callbacks.on_headers_complete = [](http_parser* p) {
-            State& s = of(p);
-            if (p->status_code >= 200)
-                s.pieces.emplace_back(ResponseHead{static_cast<int>(p->status_code), s.head.take()});
-            s.head = {};
-            if (p->status_code < 200 || (p->flags & F_CHUNKED) == 0) return 0;
-            s.keep_alive = http_should_keep_alive(p) != 0;
-            s.chunks.emplace(s.limits);
-            return 1;  // the head is the end, to http-parser
-        };
-        callbacks.on_body = [](http_parser* p, const char* at, std::size_t n) {
-            State& s = of(p);
-            if (!s.pieces.empty() && std::holds_alternative<BodyPiece>(s.pieces.back()))
-                std::get<BodyPiece>(s.pieces.back()).bytes.append(at, n);
-            else s.pieces.emplace_back(BodyPiece{std::string(at, n)});
-            return 0;
-        };
-        callbacks.on_message_complete = [](http_parser* p) {
-            State& s = of(p);
-            if (p->status_code < 200) {
-                s.begun = false;
-                return 0;
-            }
-            if (s.chunks) {
-                http_parser_pause(p, 1);
-                return 0;
-            }
-            s.whole = true;
-            s.pieces.emplace_back(ResponseEnd{http_should_keep_alive(p) != 0});
-            http_parser_pause(p, 1);
+    int on_body(std::string_view bytes) {
+        if (!parsed.empty() && std::holds_alternative<BodyPiece>(parsed.back()))
+            std::get<BodyPiece>(parsed.back()).bytes += bytes;
+        else parsed.emplace_back(BodyPiece{std::string(bytes)});
+        return 0;
+    }
+    int on_complete() {
+        if (informational()) {
+            begun = false;
             return 0;
-        };
-        begin();
+        }
+        http_parser_pause(&parser, 1);
+        if (chunks) return 0;  // only the head is complete
+        complete = true;
+        parsed.emplace_back(ResponseEnd{http_should_keep_alive(&parser) != 0});
+        return 0;
     }
 };
 
@@ -319,46 +292,56 @@
 ResponseReader& ResponseReader::operator=(ResponseReader&&) noexcept = default;
 void ResponseReader::reset() { state_->begin(); }
 
+namespace {
+
+// Reads on in a chunked body, after the `parsed` pieces of the same input.
+std::vector<ResponsePiece> feed_chunks(ChunkReader& chunks, std::string_view bytes, bool keep_alive,
+                                       std::vector<ResponsePiece> parsed) {
+    std::string body;
+    const bool valid = chunks.feed(bytes, body);
+    if (!body.empty()) parsed.emplace_back(BodyPiece{std::move(body)});
+    if (!valid) parsed.emplace_back(Fault{502, "not HTTP/1.1: a chunk that can't be read, or does not fit"});
+    else if (chunks.complete()) parsed.emplace_back(ResponseEnd{keep_alive && bytes.empty()});
+    return parsed;
+}
+
+}  // namespace
+
 std::vector<ResponsePiece> ResponseReader::feed(std::string_view bytes) {
     State& s = *state_;
     if (bytes.empty()) return {};  // to http-parser an empty input is the end of the stream
-    if (s.whole) return {Fault{502, "bytes after the end of the answer"}};
+    if (s.complete) return {Fault{502, "bytes after the end of the answer"}};
     std::size_t used = 0;
     if (!s.chunks) used = http_parser_execute(&s.parser, &s.callbacks, bytes.data(), bytes.size());
-    auto out = std::exchange(s.pieces, {});
+    auto out = std::exchange(s.parsed, {});
     if (s.chunks) {
-        auto rest = bytes.substr(used);
-        std::string body;
-        const bool good = s.chunks->feed(rest, body);
-        if (!body.empty()) out.emplace_back(BodyPiece{std::move(body)});
-        s.whole = good && s.chunks->whole();
-        if (!good) out.emplace_back(Fault{502, "not HTTP/1.1: a chunk that can't be read, or does not fit"});
-        else if (s.whole) out.emplace_back(ResponseEnd{s.keep_alive && rest.empty()});
+        out = feed_chunks(*s.chunks, bytes.substr(used), s.keep_alive, std::move(out));
+        s.complete = s.chunks->complete();
         return out;
     }
-    if (s.whole) {
+    if (s.complete) {
         if (used < bytes.size()) std::get<ResponseEnd>(out.back()).keep_alive = false;
         return out;
     }
-    if (s.over_limit || HTTP_PARSER_ERRNO(&s.parser) == HPE_HEADER_OVERFLOW)
+    if (s.head_too_large || HTTP_PARSER_ERRNO(&s.parser) == HPE_HEADER_OVERFLOW)
         out.emplace_back(Fault{502, "answer's head too large"});
     else if (HTTP_PARSER_ERRNO(&s.parser) != HPE_OK || s.parser.upgrade != 0)
-        out.emplace_back(Fault{502, "not HTTP/1.1: " + parser_says(s.parser)});
+        out.emplace_back(Fault{502, "not HTTP/1.1: " + parser_error(s.parser)});
     return out;
 }
 
 std::vector<ResponsePiece> ResponseReader::close() {
     State& s = *state_;
-    if (s.whole || !s.begun) return {};
+    if (s.complete || !s.begun) return {};
     if (s.chunks) return {Fault{502, "the answer was cut", true}};
     http_parser_execute(&s.parser, &s.callbacks, nullptr, 0);
-    auto out = std::exchange(s.pieces, {});
-    if (s.whole) std::get<ResponseEnd>(out.back()).keep_alive = false;
+    auto out = std::exchange(s.parsed, {});
+    if (s.complete) std::get<ResponseEnd>(out.back()).keep_alive = false;
     else out.emplace_back(Fault{502, "the answer was cut", true});
     return out;
 }
 
-// ---- bytes ----
+// ---- formatting ----
 
 std::string_view reason(int status) {
     switch (status) {
@@ -371,7 +354,7 @@
 }
 
 namespace {
-void put_headers(std::string& out, const Headers& headers) {
+void append_headers(std::string& out, const Headers& headers) {
     for (const auto& h : headers.all()) {
         out += h.name;
         out += ": ";
@@ -388,7 +371,7 @@
     out.reserve(256);
     ((out += method) += ' ') += target;
     out += " HTTP/1.1\r\n";
-    put_headers(out, headers);
+    append_headers(out, headers);
     return out;
 }
 
@@ -396,7 +379,7 @@
     std::string out = "HTTP/1.1 " + std::to_string(status) + ' ';
     out += reason(status);
     out += "\r\n";
-    put_headers(out, headers);
+    append_headers(out, headers);
     return out;
 }
 
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -1,6 +1,6 @@
-// HTTP/1.1 messages as values, and their bytes. The parsing is http-parser's; this room adds limits and
-// types. Incremental: any split of the input gives the same result. Bounded: a message over its limits is an
-// error before it is stored. No I/O, no threads.
+// HTTP/1.1 messages as values, and their bytes on the wire. http-parser does the parsing; this package adds
+// limits and types. Parsing is incremental: any split of the input gives the same result. It is bounded: a
+// message over its limits is an error before it is stored. No I/O, no threads. Errors are returned as Fault.
 #pragma once
 
 #include <cstdint>
@@ -12,19 +12,23 @@
 
 namespace chalksail::http {
 
+// One header field, as received or to be sent.
 struct Header {
     std::string name;
     std::string value;
 };
 
+// The header fields of a message, in order; names compare without regard to case.
 class Headers {
 public:
+    // Appends a field; fields of the same name stay.
     void add(std::string name, std::string value) { all_.push_back({std::move(name), std::move(value)}); }
     // Replaces the first of that name, or adds it.
     void set(std::string_view name, std::string value);
     // The first of that name, in any case of letters; empty if there is none.
     [[nodiscard]] std::string_view get(std::string_view name) const;
     [[nodiscard]] bool has(std::string_view name) const;
+    // All fields, in order.
     [[nodiscard]] const std::vector<Header>& all() const { return all_; }
     std::vector<Header>& all() { return all_; }
 
@@ -32,8 +36,10 @@
     std::vector<Header> all_;
 };
 
+// Are these the same header name, in any case of letters?
 [[nodiscard]] bool same_name(std::string_view a, std::string_view b);
 
+// A complete request, as a server receives it.
 struct Request {
     std::string method;
     std::string target;  // as sent; path() leaves the query out
@@ -46,13 +52,14 @@
     }
 };
 
+// The most bytes of each part of a message.
 struct Limits {
     std::size_t head_bytes = 32 * 1024;
     std::size_t body_bytes = 8 * 1024 * 1024;
     std::uint64_t chunk_bytes = std::uint64_t{1} << 30U;  // one chunk of an answer
 };
 
-// Why a message can't be taken: the status to answer with, and the reason.
+// Why a message can't be read: the status to answer with, and the reason as text for logs.
 struct Fault {
     int status = 400;
     std::string text;
@@ -70,46 +77,27 @@
     RequestReader& operator=(const RequestReader&) = delete;
 
     struct NeedMore {
-        bool send_continue = false;  // the client waits for "100 Continue" before its body; said once
+        bool send_continue = false;  // the client waits for "100 Continue" before its body; set once
     };
     using Progress = std::variant<NeedMore, Request, Fault>;
-    // Takes from the front of `bytes` what it uses, at most to the end of one request. After a Fault the
-    // stream can't be read on.
+    // Removes from the front of `bytes` what it has read, at most to the end of one request. After a Fault
+    // the stream can't be read further.
     [[nodiscard]] Progress feed(std::string_view& bytes);
-    // Is the head of the message that is being read whole?
+    // Has the head of the current request been read completely?
     [[nodiscard]] bool in_body() const;
-    [[nodiscard]] std::size_t body_bytes() const;  // of it, so far
+    // Bytes of its body so far.
+    [[nodiscard]] std::size_t body_bytes() const;
 
 private:
     struct State;
     std::unique_ptr<State> state_;
 };
 
-// Takes a chunked body apart, strictly: http-parser, as Debian builds it, passes over what stands where a
-// chunk's end should be, and so takes a chunk that does not fit for another one.
-class ChunkReader {
-public:
-    explicit ChunkReader(Limits limits) : limits_(limits) {}
-    // Takes from the front of `bytes`; what it is not for stays there once whole(). Adds to `body`. False:
-    // spoilt.
-    [[nodiscard]] bool feed(std::string_view& bytes, std::string& body);
-    [[nodiscard]] bool whole() const { return state_ == State::whole; }
-
-private:
-    enum class State { size, extension, size_end, data, data_cr, data_lf, trailer, trailer_end, whole };
-    Limits limits_;
-    State state_ = State::size;
-    std::uint64_t left_ = 0;  // of the chunk
-    int digits_ = 0;          // of its size
-    std::size_t aside_ = 0;   // bytes of extensions and trailers
-    bool line_empty_ = true;  // of the trailers
-};
-
+// The parts of one response, in order: a head, parts of the body, the end. A Fault ends it instead.
 struct ResponseHead {
     int status = 0;
     Headers headers;
 };
-// Pieces of one response, in order: a head, bodies, an end.
 struct BodyPiece {
     std::string bytes;
 };
@@ -118,8 +106,8 @@
 };
 using ResponsePiece = std::variant<ResponseHead, BodyPiece, ResponseEnd, Fault>;
 
-// Reads responses. Informational (1xx) ones are passed over. Body bytes are not bounded here: they are passed
-// on piece by piece and the receiver counts them.
+// Reads responses from a byte stream. Informational (1xx) ones are skipped. The body as a whole is not
+// bounded here: its parts are returned as they arrive, and the caller counts them.
 class ResponseReader {
 public:
     explicit ResponseReader(Limits limits);
@@ -129,22 +117,26 @@
     ResponseReader(const ResponseReader&) = delete;
     ResponseReader& operator=(const ResponseReader&) = delete;
 
-    // Bytes after the end of the response are a Fault: nothing was asked for.
+    // The parts that `bytes` complete. Bytes after the end of the response are a Fault: no request is open.
     [[nodiscard]] std::vector<ResponsePiece> feed(std::string_view bytes);
     // The peer closed: ends a response whose body runs to the close; a Fault if it is cut; nothing between
     // responses.
     [[nodiscard]] std::vector<ResponsePiece> close();
-    void reset();  // before the next response on the same connection
+    // Makes ready for the next response on the same connection.
+    void reset();
 
 private:
     struct State;
     std::unique_ptr<State> state_;
 };
 
+// The reason phrase of a status code; "Unknown" for others.
 [[nodiscard]] std::string_view reason(int status);
+// Heads with the empty line that ends them. Line breaks in values become spaces.
 [[nodiscard]] std::string format_request_head(std::string_view method, std::string_view target,
                                               const Headers& headers);
 [[nodiscard]] std::string format_response_head(int status, const Headers& headers);
+// One chunk of a chunked body, with its size line.
 [[nodiscard]] std::string format_chunk(std::string_view bytes);
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 inline constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
