--- a/src/base/backoff.hpp
+++ b/src/base/backoff.hpp
@@ -1,4 +1,5 @@
-// Pauses between tries that double from a least to a most. No clock, no I/O.
+// Exponential backoff: pauses between attempts that double from a minimum to a maximum. No clock, no I/O, no
+// threads.
 #pragma once
 
 #include <algorithm>
@@ -6,21 +7,22 @@
 
 namespace chalksail {
 
+// The backoff of one sequence of attempts.
 class Backoff {
 public:
-    Backoff(Duration least, Duration most) : least_(least), most_(most) {}
+    Backoff(Duration minimum, Duration maximum) : minimum_(minimum), maximum_(maximum) {}
 
-    // The pause before the next try.
+    // The pause before the next attempt.
     [[nodiscard]] Duration next() {
-        pause_ = std::clamp(2 * pause_, least_, most_);
+        pause_ = std::clamp(2 * pause_, minimum_, maximum_);
         return pause_;
     }
-    // A try went well.
+    // After a success: the next pause is the minimum again.
     void reset() { pause_ = {}; }
 
 private:
-    Duration least_;
-    Duration most_;
+    Duration minimum_;
+    Duration maximum_;
     Duration pause_{};
 };
 
--- a/src/base/json.hpp
+++ b/src/base/json.hpp
@@ -1,4 +1,5 @@
-// Small helpers over rapidjson. Parsing is iterative, so that depth costs no stack, and checks the encoding.
+// Small helpers over rapidjson. Parsing is iterative, so that nesting costs no stack, and checks the
+// encoding. No I/O, no threads. Malformed text is a false return.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -13,6 +14,7 @@
 using Value = rapidjson::Value;
 using Document = rapidjson::Document;
 
+// How all text is parsed.
 inline constexpr unsigned kFlags = rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag;
 
 // False if the text is not one JSON value.
@@ -20,16 +22,18 @@
     out.Parse<kFlags>(text.data(), text.size());
     return !out.HasParseError();
 }
-// The member, or nullptr if `object` is none or has none of that name. A null counts as absent.
+// The member of that name, or nullptr if there is none or `object` is no object. A null counts as absent.
 inline const Value* find(const Value& object, const char* name) {
     if (!object.IsObject()) return nullptr;
     const auto it = object.FindMember(name);
     return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
 }
+// The text of a string. The second form: empty for anything else.
 inline std::string_view text(const Value& value) { return {value.GetString(), value.GetStringLength()}; }
 inline std::string_view text(const Value* value) {
     return value != nullptr && value->IsString() ? text(*value) : std::string_view{};
 }
+// The value as JSON without white space.
 inline std::string dump(const Value& value) {
     rapidjson::StringBuffer buffer;
     rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
@@ -37,7 +41,7 @@
     return {buffer.GetString(), buffer.GetSize()};
 }
 
-// One object written member by member; the members' order is kept.
+// Writes one object member by member, in the order of the calls.
 class ObjectWriter {
 public:
     ObjectWriter() : out_(buffer_) { out_.StartObject(); }
@@ -51,6 +55,7 @@
         out_.Double(value);
         return *this;
     }
+    // An integer.
     ObjectWriter& whole(const char* name, std::int64_t value) {
         out_.Key(name);
         out_.Int64(value);
@@ -66,11 +71,13 @@
         out_.Null();
         return *this;
     }
+    // A value that is JSON already.
     ObjectWriter& raw(const char* name, std::string_view value) {
         out_.Key(name);
         out_.RawValue(value.data(), value.size(), rapidjson::kObjectType);
         return *this;
     }
+    // The object. Call it once, at the end.
     [[nodiscard]] std::string done() {
         out_.EndObject();
         return {buffer_.GetString(), buffer_.GetSize()};
--- a/src/base/units.cpp
+++ b/src/base/units.cpp
@@ -9,10 +9,15 @@
 namespace chalksail {
 namespace {
 
+constexpr double kDurationMostNs = 3.2e16;  // a little over a year
+constexpr double kSizeMost = 1e15;          // bytes
+
+// A number and the unit behind it.
 struct Split {
     double number = 0;
     std::string_view unit;
 };
+
 std::optional<Split> split(std::string_view text) {
     Split out;
     const auto [end, why] =
@@ -35,7 +40,7 @@
     else if (parts->unit == "h") factor = 3600e9;
     else return std::nullopt;
     const double ns = parts->number * factor;
-    if (ns > 3.2e16) return std::nullopt;
+    if (ns > kDurationMostNs) return std::nullopt;
     return Duration(static_cast<std::int64_t>(std::llround(ns)));
 }
 
@@ -49,7 +54,7 @@
     else if (parts->unit == "GiB") factor = 1024.0 * 1024 * 1024;
     else return std::nullopt;
     const double bytes = parts->number * factor;
-    if (bytes > 1e15) return std::nullopt;
+    if (bytes > kSizeMost) return std::nullopt;
     return static_cast<std::uint64_t>(std::llround(bytes));
 }
 
@@ -80,8 +85,8 @@
 }
 
 std::string format_address(const Address& address) {
-    const bool six = address.host.find(':') != std::string::npos;
-    return (six ? "[" + address.host + "]" : address.host) + ":" + std::to_string(address.port);
+    const bool is_ipv6 = address.host.find(':') != std::string::npos;
+    return (is_ipv6 ? "[" + address.host + "]" : address.host) + ":" + std::to_string(address.port);
 }
 
 }  // namespace chalksail
--- a/src/base/units.hpp
+++ b/src/base/units.hpp
@@ -1,5 +1,5 @@
-// Times and sizes as people write them ("250ms", "8MiB"), and the strong types that rooms share. No I/O, no
-// state.
+// Durations, sizes and addresses as people write them ("250ms", "8MiB", "[::1]:80"). No I/O, no threads, no
+// state. Malformed text gives nullopt.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -10,21 +10,22 @@
 
 namespace chalksail {
 
-// "250us", "250ms", "1.5s", "2m", "1h"; nothing for other text, negative times or ones over a year.
+// "250us", "250ms", "1.5s", "2m", "1h"; nullopt for other text, negative times or ones over a year.
 [[nodiscard]] std::optional<Duration> parse_duration(std::string_view text);
-// "512", "512B", "64KiB", "8MiB", "1GiB"; nothing for other text.
+// "512", "512B", "64KiB", "8MiB", "1GiB"; nullopt for other text.
 [[nodiscard]] std::optional<std::uint64_t> parse_size(std::string_view text);
 // The shortest of the forms above that is exact to a microsecond.
 [[nodiscard]] std::string format_duration(Duration duration);
 
-// An IP address and a port, as text that is known to be well formed.
+// An IP address and a port; parse_address() makes sure that the text is well formed.
 struct Address {
     std::string host;  // IPv4 or IPv6 literal, no brackets
     std::uint16_t port = 0;
     friend auto operator<=>(const Address&, const Address&) = default;
 };
-// "127.0.0.1:80", "[::1]:80"; nothing for host names or other text.
+// "127.0.0.1:80", "[::1]:80"; nullopt for host names or other text.
 [[nodiscard]] std::optional<Address> parse_address(std::string_view text);
+// The form that parse_address() reads.
 [[nodiscard]] std::string format_address(const Address& address);
 
 }  // namespace chalksail
--- a/src/chat/collect.cpp
+++ b/src/chat/collect.cpp
@@ -1,9 +1,11 @@
 #include "chat/collect.hpp"
 
+#include <algorithm>
+
 namespace chalksail::chat {
 namespace {
 
-// Members of a delta that are whole in each chunk: a later one replaces an earlier.
+// Members of a delta that each chunk has in full: a later one replaces an earlier.
 bool replaces(std::string_view name) {
     return name == "role" || name == "id" || name == "type" || name == "name" || name == "finish_reason" ||
            name == "stop_reason" || name == "index";
@@ -15,82 +17,104 @@
     return out;
 }
 
+// Position of the element of `items` with this "index"; their number if there is none.
+rapidjson::SizeType position_of(const json::Value* index, const json::Value& items) {
+    rapidjson::SizeType found = items.Size();
+    for (rapidjson::SizeType i = 0; index != nullptr && i < items.Size(); ++i)
+        if (const auto* at = json::find(items[i], "index"); at != nullptr && *at == *index) found = i;
+    return found;
+}
+
 }  // namespace
 
 json::Value& Collector::choice(int index) {
-    const auto [it, fresh] = choices_.try_emplace(index);
-    if (fresh) {
+    const auto [it, added] = choices_.try_emplace(index);
+    if (added) {
         it->second.SetObject();
-        it->second.AddMember("index", index, all_.GetAllocator());
-        it->second.AddMember("message", json::Value(rapidjson::kObjectType), all_.GetAllocator());
+        it->second.AddMember("index", index, completion_.GetAllocator());
+        it->second.AddMember("message", json::Value(rapidjson::kObjectType), completion_.GetAllocator());
     }
     return it->second;
 }
 
-void Collector::merge(json::Value& into, const json::Value& from, bool text_grows, const std::string& path) {
-    auto& memory = all_.GetAllocator();
+void Collector::merge_object(json::Value& into, const json::Value& from, const std::string& path) {
+    for (const auto& m : from.GetObject()) {
+        const auto it = into.FindMember(m.name);
+        if (it == into.MemberEnd())
+            into.AddMember(copy_of(m.name, completion_), copy_of(m.value, completion_),
+                           completion_.GetAllocator());
+        else if (!m.value.IsNull())
+            merge(it->value, m.value, !replaces(json::text(m.name)), path + '/' + m.name.GetString());
+    }
+}
+
+void Collector::merge_array(json::Value& into, const json::Value& from, bool append_text,
+                            const std::string& path) {
+    for (const auto& item : from.GetArray()) {
+        const auto position = position_of(json::find(item, "index"), into);
+        if (position < into.Size())
+            merge(into[position], item, append_text, path + '/' + std::to_string(position));
+        else into.PushBack(copy_of(item, completion_), completion_.GetAllocator());
+    }
+}
+
+void Collector::merge(json::Value& into, const json::Value& from, bool append_text, const std::string& path) {
     if (into.IsObject() && from.IsObject()) {
-        for (const auto& m : from.GetObject()) {
-            const auto it = into.FindMember(m.name);
-            if (it == into.MemberEnd()) into.AddMember(copy_of(m.name, all_), copy_of(m.value, all_), memory);
-            else if (!m.value.IsNull())
-                merge(it->value, m.value, !replaces(json::text(m.name)), path + '/' + m.name.GetString());
-        }
+        merge_object(into, from, path);
     } else if (into.IsArray() && from.IsArray()) {
-        for (const auto& item : from.GetArray()) {
-            const auto* index = json::find(item, "index");
-            rapidjson::SizeType same = into.Size();
-            for (rapidjson::SizeType i = 0; index != nullptr && i < into.Size(); ++i)
-                if (const auto* at = json::find(into[i], "index"); at != nullptr && *at == *index) same = i;
-            if (same < into.Size()) merge(into[same], item, text_grows, path + '/' + std::to_string(same));
-            else into.PushBack(copy_of(item, all_), memory);
-        }
-    } else if (into.IsString() && from.IsString() && text_grows) {
-        // Grown beside the tree: its pool frees nothing, and a copy for each chunk would square the memory.
-        const auto [it, fresh] = grown_.try_emplace(path);
-        if (fresh) it->second = json::text(into);
+        merge_array(into, from, append_text, path);
+    } else if (into.IsString() && from.IsString() && append_text) {
+        // Appended beside the tree: its pool frees nothing, and a copy for each chunk would take memory that
+        // grows with the square of the length.
+        const auto [it, added] = appended_texts_.try_emplace(path);
+        if (added) it->second = json::text(into);
         it->second += json::text(from);
     } else {
-        into.CopyFrom(from, memory);
+        into.CopyFrom(from, completion_.GetAllocator());
     }
 }
 
+bool Collector::add_choice(const json::Value& part) {
+    const auto* index = json::find(part, "index");
+    if (!part.IsObject() || (index != nullptr && !index->IsInt())) return false;
+    json::Value& into = choice(index == nullptr ? 0 : index->GetInt());
+    for (const auto& m : part.GetObject()) {
+        if (m.name == "index") continue;
+        const char* const name = m.name == "delta" ? "message" : m.name.GetString();
+        const auto it = into.FindMember(name);
+        if (it == into.MemberEnd())
+            into.AddMember(copy_of(m.name, completion_), copy_of(m.value, completion_),
+                           completion_.GetAllocator());
+        else if (!m.value.IsNull())
+            merge(it->value, m.value, !replaces(name), std::to_string(into["index"].GetInt()) + '/' + name);
+    }
+    return true;
+}
+
 bool Collector::add(std::string_view chunk) {
-    if ((taken_ += chunk.size()) > most_) return false;
+    if ((received_bytes_ += chunk.size()) > max_bytes_) return false;
     json::Document doc;
     if (!json::parse(chunk, doc) || !doc.IsObject()) return false;
-    auto& memory = all_.GetAllocator();
+    auto& memory = completion_.GetAllocator();
     for (const auto& m : doc.GetObject()) {
         if (m.name == "choices") continue;
-        const auto it = all_.FindMember(m.name);
-        if (it == all_.MemberEnd()) all_.AddMember(copy_of(m.name, all_), copy_of(m.value, all_), memory);
+        const auto it = completion_.FindMember(m.name);
+        if (it == completion_.MemberEnd())
+            completion_.AddMember(copy_of(m.name, completion_), copy_of(m.value, completion_), memory);
         else if (!m.value.IsNull()) it->value.CopyFrom(m.value, memory);
     }
-    const auto* list = json::find(doc, "choices");
-    if (list == nullptr) return true;
-    if (!list->IsArray()) return false;
-    for (const auto& part : list->GetArray()) {
-        const auto* index = json::find(part, "index");
-        if (!part.IsObject() || (index != nullptr && !index->IsInt())) return false;
-        json::Value& into = choice(index == nullptr ? 0 : index->GetInt());
-        for (const auto& m : part.GetObject()) {
-            if (m.name == "index") continue;
-            const char* const name = m.name == "delta" ? "message" : m.name.GetString();
-            const auto it = into.FindMember(name);
-            if (it == into.MemberEnd()) into.AddMember(copy_of(m.name, all_), copy_of(m.value, all_), memory);
-            else if (!m.value.IsNull())
-                merge(it->value, m.value, !replaces(name),
-                      std::to_string(into["index"].GetInt()) + '/' + name);
-        }
-    }
-    return true;
+    const auto* choices = json::find(doc, "choices");
+    if (choices == nullptr) return true;
+    if (!choices->IsArray()) return false;
+    const auto parts = choices->GetArray();
+    return std::all_of(parts.begin(), parts.end(), [this](const auto& part) { return add_choice(part); });
 }
 
 void Collector::restore(json::Value& value, const std::string& path) {
     if (value.IsString()) {
-        if (const auto it = grown_.find(path); it != grown_.end())
+        if (const auto it = appended_texts_.find(path); it != appended_texts_.end())
             value.SetString(it->second.data(), static_cast<rapidjson::SizeType>(it->second.size()),
-                            all_.GetAllocator());
+                            completion_.GetAllocator());
     } else if (value.IsObject()) {
         for (auto& m : value.GetObject()) restore(m.value, path + '/' + m.name.GetString());
     } else if (value.IsArray()) {
@@ -100,7 +124,7 @@
 }
 
 std::string Collector::finish() {
-    auto& memory = all_.GetAllocator();
+    auto& memory = completion_.GetAllocator();
     json::Value list(rapidjson::kArrayType);
     for (auto& [index, c] : choices_) {
         restore(c, std::to_string(index));
@@ -113,10 +137,10 @@
         list.PushBack(c, memory);
     }
     choices_.clear();
-    all_.RemoveMember("object");
-    all_.AddMember("object", "chat.completion", memory);
-    all_.AddMember("choices", list, memory);
-    return json::dump(all_);
+    completion_.RemoveMember("object");
+    completion_.AddMember("object", "chat.completion", memory);
+    completion_.AddMember("choices", list, memory);
+    return json::dump(completion_);
 }
 
 }  // namespace chalksail::chat
--- a/src/chat/collect.hpp
+++ b/src/chat/collect.hpp
@@ -1,5 +1,5 @@
-// Puts the chunks of a streamed answer together to the one object that a client gets which did not ask for a
-// stream. Bounded; no I/O.
+// Joins the chunks of a streamed response into the single object that a client gets whose request was not for
+// a stream. Bounded; no I/O, no threads.
 #pragma once
 
 #include <map>
@@ -10,27 +10,34 @@
 
 namespace chalksail::chat {
 
+// Joins the chunks of one response.
 class Collector {
 public:
-    explicit Collector(std::size_t most_bytes) : most_(most_bytes) { all_.SetObject(); }
-    // Takes one chunk's JSON. False if it is no chunk, or the answer grows past its bound.
+    // `max_bytes`: the most that all chunks together may have.
+    explicit Collector(std::size_t max_bytes) : max_bytes_(max_bytes) { completion_.SetObject(); }
+    // Adds one chunk, a JSON object. False if it is malformed, or the response grows past its bound.
     [[nodiscard]] bool add(std::string_view chunk);
-    // The "chat.completion" object.
+    // The "chat.completion" object of all chunks. Call it once, at the end.
     [[nodiscard]] std::string finish();
 
 private:
+    // The choice of this index, added if it is new.
     json::Value& choice(int index);
-    // Strings grow, arrays of indexed objects merge by index, other arrays append, objects merge, the rest
-    // replaces.
-    void merge(json::Value& into, const json::Value& from, bool text_grows, const std::string& path);
-    // Puts the grown texts back into the tree.
+    // Adds one element of a chunk's "choices". False if it is malformed.
+    bool add_choice(const json::Value& part);
+    // Merges a delta's value. Strings are appended, arrays of indexed objects merge by index, other arrays
+    // are appended, objects merge member by member, and anything else replaces.
+    void merge(json::Value& into, const json::Value& from, bool append_text, const std::string& path);
+    void merge_object(json::Value& into, const json::Value& from, const std::string& path);
+    void merge_array(json::Value& into, const json::Value& from, bool append_text, const std::string& path);
+    // Puts the appended texts back into the tree.
     void restore(json::Value& value, const std::string& path);
 
-    std::size_t most_;
-    std::size_t taken_ = 0;
-    json::Document all_;  // all but the choices
+    std::size_t max_bytes_;
+    std::size_t received_bytes_ = 0;
+    json::Document completion_;  // all but the choices
     std::map<int, json::Value> choices_;
-    std::map<std::string, std::string> grown_;  // by path: choice/member/...
+    std::map<std::string, std::string> appended_texts_;  // by path: choice/member/...
 };
 
 }  // namespace chalksail::chat
--- a/src/chat/request.cpp
+++ b/src/chat/request.cpp
@@ -15,13 +15,13 @@
 namespace chalksail::chat {
 namespace {
 
-// Notes where top-level members begin and end while rapidjson's reader goes over the text, and passes all on
-// to `to`: one reading gives both the tree and the places.
-template <class To>
+// A handler for rapidjson's reader that records where top-level members begin and end, and forwards every
+// event to the handler `to`: one pass gives both the tree and the offsets.
+template <class Handler>
 class MemberHandler {
 public:
-    MemberHandler(std::string_view text, rapidjson::MemoryStream& stream, std::size_t depth, To& to)
-        : text_(text), stream_(stream), most_(depth), to_(to) {}
+    MemberHandler(std::string_view text, rapidjson::MemoryStream& stream, std::size_t max_depth, Handler& to)
+        : text_(text), stream_(stream), max_depth_(max_depth), to_(to) {}
     bool Null() { return scalar() && to_.Null(); }
     bool Bool(bool b) { return scalar() && to_.Bool(b); }
     bool Int(int i) { return scalar() && to_.Int(i); }
@@ -40,28 +40,29 @@
     bool EndObject(rapidjson::SizeType n) { return close() && to_.EndObject(n); }
     bool EndArray(rapidjson::SizeType n) { return close() && to_.EndArray(n); }
     bool Key(const char* name, rapidjson::SizeType length, bool copy) {
-        if (depth_ == 1) {
-            Member m;
-            m.name.assign(name, length);
-            std::size_t at = stream_.Tell();  // just after the name's closing quote
-            while (at < text_.size() && text_[at] != ':') ++at;
-            ++at;
-            while (at < text_.size() &&
-                   (text_[at] == ' ' || text_[at] == '\t' || text_[at] == '\n' || text_[at] == '\r'))
-                ++at;
-            m.value = at;
-            // From the end of the last member, over its comma and white space, to this name's quote.
-            std::size_t begin = members.empty() ? 0 : members.back().end;
-            while (begin < text_.size() && text_[begin] != '"') ++begin;
-            m.begin = begin;
-            members.push_back(std::move(m));
-        }
+        if (depth_ == 1) begin_member({name, length});
         return to_.Key(name, length, copy);
     }
     std::vector<Member> members;
     bool object = false;
 
 private:
+    // Just after a top-level member's name has been read, closing quote included.
+    void begin_member(std::string_view name) {
+        Member member;
+        member.name = name;
+        std::size_t at = stream_.Tell();
+        while (at < text_.size() && text_[at] != ':') ++at;
+        ++at;
+        while (at < text_.size() && is_space(text_[at])) ++at;
+        member.value = at;
+        // From the end of the last member, over its comma and white space, to this name's quote.
+        std::size_t begin = members.empty() ? 0 : members.back().end;
+        while (begin < text_.size() && text_[begin] != '"') ++begin;
+        member.begin = begin;
+        members.push_back(std::move(member));
+    }
+    static bool is_space(char c) { return c == ' ' || c == '\t' || c == '\n' || c == '\r'; }
     bool scalar() {
         if (depth_ == 1 && object) members.back().end = stream_.Tell();
         return depth_ > 0;
@@ -69,22 +70,22 @@
     bool open(bool is_object) {
         if (depth_ == 0) {
             object = is_object;
-            // Releases of rapidjson differ in whether a bracket has been taken when they tell of it.
-            taken_ = stream_.Tell() > 0 && text_[stream_.Tell() - 1] == '{';
+            // Releases of rapidjson differ in whether a bracket has been consumed when its event comes.
+            bracket_consumed_ = stream_.Tell() > 0 && text_[stream_.Tell() - 1] == '{';
         }
-        return ++depth_ <= most_ && object;
+        return ++depth_ <= max_depth_ && object;
     }
     bool close() {
-        if (--depth_ == 1) members.back().end = stream_.Tell() + (taken_ ? 0 : 1);
+        if (--depth_ == 1) members.back().end = stream_.Tell() + (bracket_consumed_ ? 0 : 1);
         return true;
     }
 
     std::string_view text_;
     rapidjson::MemoryStream& stream_;
-    std::size_t most_;
+    std::size_t max_depth_;
     std::size_t depth_ = 0;
-    bool taken_ = false;
-    To& to_;
+    bool bracket_consumed_ = false;
+    Handler& to_;
 };
 
 ApiError invalid(std::string param, std::string message) {
@@ -93,17 +94,20 @@
 
 bool is_object_or_null(const json::Value& v) { return v.IsObject() || v.IsNull(); }
 
+constexpr double kLimitMost = 1e9;  // tokens; more is taken for a mistake
+
 // Reads a member that must be a whole number of at least 1, if it is there.
-std::optional<ApiError> take_limit(const json::Value& body, const char* name, double& out) {
+std::optional<ApiError> read_limit(const json::Value& body, const char* name, double& out) {
     const auto* value = json::find(body, name);
     if (value == nullptr) return std::nullopt;
-    if (!value->IsNumber() || value->GetDouble() < 1 || value->GetDouble() > 1e9 ||
+    if (!value->IsNumber() || value->GetDouble() < 1 || value->GetDouble() > kLimitMost ||
         value->GetDouble() != std::floor(value->GetDouble()))
         return invalid(name, std::string("'") + name + "' must be a whole number of at least 1");
     out = value->GetDouble();
     return std::nullopt;
 }
-std::optional<ApiError> take_flag(const json::Value& body, const char* name, const std::string& path,
+// Reads a member that must be a boolean, if it is there. `path` names it in the error.
+std::optional<ApiError> read_flag(const json::Value& body, const char* name, const std::string& path,
                                   bool& out) {
     const auto* value = json::find(body, name);
     if (value == nullptr) return std::nullopt;
@@ -129,6 +133,29 @@
     return std::nullopt;
 }
 
+// "stream" and "stream_options".
+std::optional<ApiError> read_stream_options(const json::Document& body, Request& out) {
+    if (auto error = read_flag(body, "stream", "stream", out.stream)) return error;
+    const auto options = body.FindMember("stream_options");
+    if (options == body.MemberEnd()) return std::nullopt;
+    if (!is_object_or_null(options->value))
+        return invalid("stream_options", "'stream_options' must be an object");
+    if (!out.stream && options->value.IsObject())
+        return invalid("stream_options", "'stream_options' goes only with 'stream'");
+    return read_flag(options->value, "include_usage", "stream_options.include_usage", out.include_usage);
+}
+
+// What identifies a session: "prompt_cache_key", else "user".
+std::optional<ApiError> read_session(const json::Document& body, Request& out) {
+    for (const char* name : {"prompt_cache_key", "user"}) {
+        const auto* value = json::find(body, name);
+        if (value == nullptr) continue;
+        if (!value->IsString()) return invalid(name, std::string("'") + name + "' must be a string");
+        if (out.session.empty()) out.session = json::text(*value);
+    }
+    return std::nullopt;
+}
+
 // Hash and length of the leading system and developer messages: the text that many prompts begin with.
 void find_prefix(const json::Value& messages, Request& out) {
     std::string leading;
@@ -145,11 +172,7 @@
     out.prefix_bytes = leading.size();
 }
 
-}  // namespace
-
-namespace {
-
-// The tree of a JSON object and the places of its top-level members, in one reading.
+// The tree of a JSON object and the offsets of its top-level members, in one pass.
 std::optional<std::vector<Member>> read_members(std::string_view body, std::size_t depth,
                                                 json::Document& doc) {
     std::optional<std::vector<Member>> out;
@@ -195,25 +218,10 @@
     const auto messages = doc.FindMember("messages");
     if (messages == doc.MemberEnd()) return tl::unexpected(invalid("messages", "'messages' is missing"));
     if (auto error = check_messages(messages->value, limits.messages)) return tl::unexpected(*error);
-    if (auto error = take_flag(doc, "stream", "stream", out.stream)) return tl::unexpected(*error);
-    if (const auto options = doc.FindMember("stream_options"); options != doc.MemberEnd()) {
-        if (!is_object_or_null(options->value))
-            return tl::unexpected(invalid("stream_options", "'stream_options' must be an object"));
-        if (!out.stream && options->value.IsObject())
-            return tl::unexpected(invalid("stream_options", "'stream_options' goes only with 'stream'"));
-        if (auto error =
-                take_flag(options->value, "include_usage", "stream_options.include_usage", out.include_usage))
-            return tl::unexpected(*error);
-    }
-    if (auto error = take_limit(doc, "max_tokens", out.max_output)) return tl::unexpected(*error);
-    if (auto error = take_limit(doc, "max_completion_tokens", out.max_output)) return tl::unexpected(*error);
-    for (const char* name : {"prompt_cache_key", "user"}) {
-        const auto* value = json::find(doc, name);
-        if (value == nullptr) continue;
-        if (!value->IsString())
-            return tl::unexpected(invalid(name, std::string("'") + name + "' must be a string"));
-        if (out.session.empty()) out.session = json::text(*value);
-    }
+    if (auto error = read_stream_options(doc, out)) return tl::unexpected(*error);
+    if (auto error = read_limit(doc, "max_tokens", out.max_output)) return tl::unexpected(*error);
+    if (auto error = read_limit(doc, "max_completion_tokens", out.max_output)) return tl::unexpected(*error);
+    if (auto error = read_session(doc, out)) return tl::unexpected(*error);
     for (const auto& m : out.members)
         if (m.name == "messages" || m.name == "tools") out.prompt_bytes += m.end - m.value;
     find_prefix(messages->value, out);
--- a/src/chat/sse.cpp
+++ b/src/chat/sse.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// The first line end in `bytes`. By memchr: looking for either of two characters at a time costs several
-// times more, and this is done for every byte that is streamed.
+// Position of the first line end in `bytes`. Uses memchr, as a search for either of two characters costs
+// several times more, and this is done for every streamed byte.
 std::size_t find_line_end(std::string_view bytes) {
     const auto find = [](std::string_view in, char c) {
         const void* const at = in.empty() ? nullptr : std::memchr(in.data(), c, in.size());
@@ -52,7 +52,7 @@
         after_cr_ = false;
         const auto end = find_line_end(bytes);
         const std::string_view part = bytes.substr(0, end);
-        if (line_.size() + data_.size() + part.size() > most_) {
+        if (line_.size() + data_.size() + part.size() > max_bytes_) {
             overflowed_ = true;
             break;
         }
--- a/src/chat/sse.hpp
+++ b/src/chat/sse.hpp
@@ -1,5 +1,5 @@
-// Server-sent events: an incremental reader of the lines, and the events that clients get. Any split of the
-// input gives the same events; one event's data is bounded. No I/O.
+// Server-sent events: an incremental reader, and the formatting of events. Any split of the input gives the
+// same events; one event's data is bounded. No I/O, no threads.
 #pragma once
 
 #include <optional>
@@ -9,19 +9,20 @@
 
 namespace chalksail::chat {
 
+// Reads one stream of events.
 class SseReader {
 public:
-    explicit SseReader(std::size_t most_bytes) : most_(most_bytes) {}
-    // The data of each event that became whole, in order. After an overflow nothing more is given.
+    // `max_bytes`: of one event's data and of a line.
+    explicit SseReader(std::size_t max_bytes) : max_bytes_(max_bytes) {}
+    // The data of each event that `bytes` complete, in order. After an overflow no more events are returned.
     [[nodiscard]] std::vector<std::string> feed(std::string_view bytes);
+    // Has an event been longer than the bound?
     [[nodiscard]] bool overflowed() const { return overflowed_; }
-    // Is an event begun and not ended?
-    [[nodiscard]] bool midway() const { return !line_.empty() || has_data_; }
 
 private:
     void end_line(std::vector<std::string>& out);
 
-    std::size_t most_;
+    std::size_t max_bytes_;
     std::string line_;
     std::string data_;
     bool has_data_ = false;
@@ -29,9 +30,10 @@
     bool overflowed_ = false;
 };
 
+// The data of the event that ends a stream of chunks.
 inline constexpr std::string_view kDone = "[DONE]";
 
-// "data: ...\n\n"; line breaks inside become further data lines.
+// One event, "data: ...\n\n"; line breaks inside become further data lines.
 [[nodiscard]] std::string format_event(std::string_view data);
 
 }  // namespace chalksail::chat
--- a/src/engine/outcome.cpp
+++ b/src/engine/outcome.cpp
@@ -15,11 +15,11 @@
         case Ending::dial_failed:
         case Ending::unverified:
         case Ending::withdrawn:
-            // Guards against a server layer that reports "no connection" of bytes that have gone out.
+            // Guards against a network layer that reports "no connection" for bytes that were sent.
             return {f.sent ? AttemptOutcome::reset : AttemptOutcome::connect_failed, false, false};
         case Ending::no_resources:
         case Ending::expired:
-            // Our own trouble tells nothing of the server: it is as if the attempt had never been made.
+            // A local fault says nothing about the server: it is as if the attempt had never been made.
             return {f.sent ? AttemptOutcome::reset : AttemptOutcome::not_sent, false, false};
         case Ending::closed:
             return {f.sent ? AttemptOutcome::reset : AttemptOutcome::connect_failed, false, false};
@@ -27,7 +27,8 @@
             return {f.started ? AttemptOutcome::reset : AttemptOutcome::error, false, false};
         case Ending::timed_out:
             return {f.sent ? AttemptOutcome::timeout : AttemptOutcome::connect_failed, false, false};
-        // One that never went out is "no connection" too, for proof; the module asked for it, so it knows.
+        // One that was never sent counts as "no connection" too, as that is the proof; the policy itself has
+        // cancelled it.
         case Ending::cancelled:
             return {f.sent ? AttemptOutcome::cancelled : AttemptOutcome::connect_failed, false, false};
     }
@@ -38,9 +39,9 @@
     if (f.not_run != NotRun::unknown)
         return {AttemptOutcome::at_capacity, f.not_run == NotRun::no_state, false};
     if (f.not_run_status) return {AttemptOutcome::at_capacity, false, false};
-    // The server is well and has looked at the request: the same would be said anywhere. 408, 425 and 429 are
-    // about the moment, 401 and 403 about this gateway's own standing there, so these are errors of the
-    // server's.
+    // The server is healthy and rejects the request itself, as any other server would. 408, 425 and 429 are
+    // about the server's state at that time, 401 and 403 about this gateway's credentials there: these count
+    // as errors of the server.
     const bool about_request = f.status >= 400 && f.status < 500 && f.status != 401 && f.status != 403 &&
                                f.status != 408 && f.status != 425 && f.status != 429;
     if (about_request) return {AttemptOutcome::ok, false, true};
--- a/src/engine/protocol.cpp
+++ b/src/engine/protocol.cpp
@@ -10,32 +10,36 @@
 namespace chalksail::engine {
 namespace {
 
-// What a client may not say for itself: these members are between gateway and engines.
-constexpr std::string_view kReadParams =
+// A client's own kv_transfer_params are never forwarded: they are between gateway and engines.
+constexpr std::string_view kPrefillParams =
     R"({"do_remote_decode":true,"do_remote_prefill":false,"remote_engine_id":null,"remote_block_ids":null,)"
     R"("remote_host":null,"remote_port":null})";
 
-double number(const json::Value* value) {
-    return value != nullptr && value->IsNumber() && value->GetDouble() >= 0 && value->GetDouble() < 1e12
+constexpr double kCountLimit = 1e12;  // a token count at or above it is taken for malformed
+
+// A token count; 0 if there is none.
+double count(const json::Value* value) {
+    return value != nullptr && value->IsNumber() && value->GetDouble() >= 0 &&
+                   value->GetDouble() < kCountLimit
                ? value->GetDouble()
                : 0;
 }
-std::optional<Usage> usage_of(const json::Value& doc) {
+std::optional<Usage> read_usage(const json::Value& doc) {
     const auto* usage = json::find(doc, "usage");
     if (usage == nullptr || !usage->IsObject()) return std::nullopt;
-    Usage out{
-        number(json::find(*usage, "prompt_tokens")), number(json::find(*usage, "completion_tokens")), {}};
+    Usage out{count(json::find(*usage, "prompt_tokens")), count(json::find(*usage, "completion_tokens")), {}};
     if (const auto* details = json::find(*usage, "prompt_tokens_details"))
         if (const auto* cached = json::find(*details, "cached_tokens");
             cached != nullptr && cached->IsNumber())
-            out.cached_tokens = number(cached);
+            out.cached_tokens = count(cached);
     return out;
 }
 
-void take_figure(Load& load, std::string_view name, double value) {
+// Adds one named figure to the load report; ignores names and values that don't belong there.
+void add_figure(Load& load, std::string_view name, double value) {
     if (!std::isfinite(value) || value < 0) return;
     const auto is = [&](std::string_view wanted) {
-        // With or without vLLM's "vllm:" and ORCA's "named_metrics." before it.
+        // With or without the prefixes "vllm:" and ORCA's "named_metrics.".
         return name.ends_with(wanted) &&
                (name.size() == wanted.size() ||
                 std::string_view(":._").find(name[name.size() - wanted.size() - 1]) !=
@@ -62,12 +66,12 @@
 }  // namespace
 
 std::string prefill_body(std::string_view client_body, const chat::Request& request) {
-    // min_tokens and n go too: with one token to write, an engine would refuse the first and repeat the
-    // second.
+    // min_tokens and n are removed too: with one token to generate, an engine would reject the first and
+    // repeat the work for the second.
     std::vector<chat::Override> overrides = {
         {"stream", "false"}, {"stream_options", std::nullopt},
         {"max_tokens", "1"}, {"min_tokens", std::nullopt},
-        {"n", std::nullopt}, {"kv_transfer_params", std::string(kReadParams)}};
+        {"n", std::nullopt}, {"kv_transfer_params", std::string(kPrefillParams)}};
     const auto& members = request.members;
     if (std::any_of(members.begin(), members.end(),
                     [](const auto& m) { return m.name == "max_completion_tokens"; }))
@@ -97,7 +101,7 @@
     if (params == nullptr || !params->IsObject()) return std::nullopt;
     PrefillAnswer out;
     out.kv_params = json::dump(*params);
-    if (const auto usage = usage_of(doc)) {
+    if (const auto usage = read_usage(doc)) {
         out.prompt_tokens = usage->prompt_tokens;
         out.cached_tokens = usage->cached_tokens;
     }
@@ -107,19 +111,18 @@
 Chunk read_chunk(std::string_view data) {
     if (data == chat::kDone) return {ChunkKind::done, std::nullopt};
     if (!data.starts_with('{') || !data.ends_with('}')) return {ChunkKind::broken, std::nullopt};
-    // Most chunks hold neither word outside a string, where a quote would have a backslash before it, and are
-    // passed on unread: reading each costs more than all the rest of the way. By memmem: string_view's find
-    // stops at every quote.
-    const auto holds = [&](std::string_view word) {
-        return memmem(data.data(), data.size(), word.data(), word.size()) != nullptr;
+    // Most chunks contain neither name as a member (inside a string its quotes would be escaped) and are
+    // forwarded unparsed: parsing each would cost more than all other work on it. Uses memmem, as
+    // string_view's find stops at every quote.
+    const auto contains = [&](std::string_view text) {
+        return memmem(data.data(), data.size(), text.data(), text.size()) != nullptr;
     };
-    const bool may_tell = holds("\"usage\"") || holds("\"error\"");
-    if (!may_tell) return {ChunkKind::chunk, std::nullopt};
+    if (!contains("\"usage\"") && !contains("\"error\"")) return {ChunkKind::chunk, std::nullopt};
     json::Document doc;
     if (!json::parse(data, doc) || !doc.IsObject()) return {ChunkKind::broken, std::nullopt};
     const auto* choices = json::find(doc, "choices");
     if (json::find(doc, "error") != nullptr && choices == nullptr) return {ChunkKind::error, std::nullopt};
-    Chunk out{ChunkKind::chunk, usage_of(doc)};
+    Chunk out{ChunkKind::chunk, read_usage(doc)};
     if (out.usage && (choices == nullptr || !choices->IsArray() || choices->Empty()))
         out.kind = ChunkKind::usage_only;
     return out;
@@ -136,13 +139,13 @@
     if (value.starts_with("JSON ")) {
         json::Document doc;
         if (!json::parse(value.substr(5), doc) || !doc.IsObject()) return out;
-        const auto take = [&](const json::Value& object) {
+        const auto add_members = [&](const json::Value& object) {
             for (const auto& m : object.GetObject())
-                if (m.value.IsNumber()) take_figure(out, json::text(m.name), m.value.GetDouble());
+                if (m.value.IsNumber()) add_figure(out, json::text(m.name), m.value.GetDouble());
         };
-        take(doc);
+        add_members(doc);
         if (const auto* named = json::find(doc, "named_metrics"); named != nullptr && named->IsObject())
-            take(*named);
+            add_members(*named);
         return out;
     }
     if (value.starts_with("TEXT ")) value.remove_prefix(5);
@@ -151,7 +154,7 @@
         const auto item = trim(value.substr(0, comma));
         if (const auto equals = item.find('='); equals != std::string_view::npos)
             if (const auto figure = parse_number(trim(item.substr(equals + 1))))
-                take_figure(out, trim(item.substr(0, equals)), *figure);
+                add_figure(out, trim(item.substr(0, equals)), *figure);
         value = comma == std::string_view::npos ? std::string_view{} : value.substr(comma + 1);
     }
     return out;
@@ -159,8 +162,8 @@
 
 Load parse_metrics_page(std::string_view page) {
     Load out;
-    double shares = 0;
-    int count = 0;
+    double share_sum = 0;
+    int share_count = 0;
     while (!page.empty()) {
         const auto end = page.find('\n');
         const auto line = trim(page.substr(0, end));
@@ -172,15 +175,15 @@
         if (labels_end == std::string_view::npos) continue;
         const auto figure = parse_number(trim(line.substr(labels_end + 1)));
         if (!figure) continue;
-        Load one;
-        take_figure(one, line.substr(0, name_end), *figure);
-        if (one.memory_share) {
-            shares += *one.memory_share;
-            ++count;
+        Load sample;
+        add_figure(sample, line.substr(0, name_end), *figure);
+        if (sample.memory_share) {
+            share_sum += *sample.memory_share;
+            ++share_count;
         }
-        take_figure(out, line.substr(0, name_end), *figure);
+        add_figure(out, line.substr(0, name_end), *figure);
     }
-    if (count > 0) out.memory_share = shares / count;
+    if (share_count > 0) out.memory_share = share_sum / share_count;
     return out;
 }
 
--- a/src/engine/vocabulary.cpp
+++ b/src/engine/vocabulary.cpp
@@ -2,14 +2,13 @@
 
 #include <array>
 #include <charconv>
-
-#include "base/json.hpp"
+#include <optional>
 
 namespace chalksail::engine {
 namespace {
 
-constexpr std::uint32_t kIdsMost = 1U << 24U;
-constexpr std::string_view kSpace = "\xe2\x96\x81";  // U+2581
+constexpr std::uint32_t kIdsMost = 1U << 24U;        // bounds the table; vocabularies have some 10^5
+constexpr std::string_view kSpace = "\xe2\x96\x81";  // U+2581, which stands for a space
 
 // GPT-2's table: printable bytes stand for themselves, the others for U+0100 and up, in their order.
 std::array<int, 512> byte_of_character() {
@@ -23,7 +22,7 @@
     return out;
 }
 
-// False where a character is none of the table's: a token that is written as it is.
+// False where a character is not in the table: such a token stands for itself.
 bool from_byte_level(std::string_view token, std::string& out) {
     static const std::array<int, 512> bytes = byte_of_character();
     for (std::size_t i = 0; i < token.size(); ++i) {
@@ -38,7 +37,8 @@
     return true;
 }
 
-std::string from_pieces(std::string_view token) {
+// The text of a SentencePiece token.
+std::string from_sentencepiece(std::string_view token) {
     unsigned byte = 0;
     if (token.size() == 6 && token.starts_with("<0x") && token.back() == '>' &&
         std::from_chars(token.data() + 3, token.data() + 5, byte, 16).ptr == token.data() + 5)
@@ -52,7 +52,8 @@
     return out;
 }
 
-bool says_byte_level(const json::Value* part) {
+// Does this part of the tokenizer, or one inside it, have the type ByteLevel?
+bool is_byte_level(const json::Value* part) {
     return part != nullptr && json::dump(*part).find("\"ByteLevel\"") != std::string::npos;
 }
 
@@ -65,6 +66,17 @@
     texts_[token] = std::move(text);
 }
 
+bool Vocabulary::set_added_tokens(const json::Value& added) {
+    for (const auto& entry : added.GetArray()) {
+        const auto* id = json::find(entry, "id");
+        const auto* content = json::find(entry, "content");
+        if (id == nullptr || !id->IsUint() || id->GetUint() >= kIdsMost) return false;
+        if (content == nullptr || !content->IsString()) return false;
+        set(id->GetUint(), std::string(json::text(*content)));
+    }
+    return true;
+}
+
 bool Vocabulary::text(std::uint32_t token, std::string& out) const {
     if (token >= texts_.size() || texts_[token].empty()) return false;
     out += texts_[token];
@@ -80,7 +92,7 @@
     if (vocab == nullptr || !vocab->IsObject())
         return tl::unexpected(std::string("tokenizer: no object 'model.vocab'"));
     const bool byte_level =
-        says_byte_level(json::find(doc, "decoder")) || says_byte_level(json::find(doc, "pre_tokenizer"));
+        is_byte_level(json::find(doc, "decoder")) || is_byte_level(json::find(doc, "pre_tokenizer"));
     Vocabulary out;
     for (const auto& entry : vocab->GetObject()) {
         if (!entry.value.IsUint() || entry.value.GetUint() >= kIdsMost)
@@ -88,60 +100,68 @@
                                   "' is none");
         const auto token = json::text(entry.name);
         std::string text;
-        if (!byte_level) text = from_pieces(token);
+        if (!byte_level) text = from_sentencepiece(token);
         else if (!from_byte_level(token, text)) text = token;
         out.set(entry.value.GetUint(), std::move(text));
     }
-    // Special tokens are written as they are.
-    if (const auto* added = json::find(doc, "added_tokens"); added != nullptr && added->IsArray())
-        for (const auto& entry : added->GetArray()) {
-            const auto* id = json::find(entry, "id");
-            const auto* content = json::find(entry, "content");
-            if (id == nullptr || !id->IsUint() || id->GetUint() >= kIdsMost || content == nullptr ||
-                !content->IsString())
-                return tl::unexpected(std::string("tokenizer: an added token without id or content"));
-            out.set(id->GetUint(), std::string(json::text(*content)));
-        }
+    // Special tokens stand for themselves.
+    const auto* added = json::find(doc, "added_tokens");
+    if (added != nullptr && added->IsArray() && !out.set_added_tokens(*added))
+        return tl::unexpected(std::string("tokenizer: an added token without id or content"));
     if (out.known_ == 0) return tl::unexpected(std::string("tokenizer: no tokens"));
     return out;
 }
 
+namespace {
+
+constexpr std::string_view kRolePlaceholder = "{role}";
+constexpr std::string_view kContentPlaceholder = "{content}";
+
+// The text of a message's content: a string, or an array of text parts. nullopt if any of it is not text.
+std::optional<std::string> content_text(const json::Value& content) {
+    if (content.IsString()) return std::string(json::text(content));
+    if (!content.IsArray()) return std::nullopt;
+    std::string out;
+    for (const auto& part : content.GetArray()) {
+        const auto* text = json::find(part, "text");
+        if (text == nullptr || !text->IsString()) return std::nullopt;
+        out += json::text(*text);
+    }
+    return out;
+}
+
+void append_rendered(std::string& out, std::string_view message_template, std::string_view role,
+                     std::string_view content) {
+    while (!message_template.empty()) {
+        if (message_template.starts_with(kRolePlaceholder)) {
+            out += role;
+            message_template.remove_prefix(kRolePlaceholder.size());
+        } else if (message_template.starts_with(kContentPlaceholder)) {
+            out += content;
+            message_template.remove_prefix(kContentPlaceholder.size());
+        } else {
+            out += message_template.front();
+            message_template.remove_prefix(1);
+        }
+    }
+}
+
+}  // namespace
+
 std::string prompt_text(std::string_view messages, const PromptTemplate& rendered) {
     json::Document doc;
     if (!json::parse(messages, doc) || !doc.IsArray()) return {};
     std::string out = rendered.begin;
-    for (const auto& m : doc.GetArray()) {
-        if (!m.IsObject()) return out;
-        const auto* role = json::find(m, "role");
-        const auto* content = json::find(m, "content");
+    for (const auto& message : doc.GetArray()) {
+        if (!message.IsObject()) return out;
+        const auto* role = json::find(message, "role");
+        const auto* content = json::find(message, "content");
         if (role == nullptr || !role->IsString() || content == nullptr) return out;
-        std::string text;
-        if (content->IsString()) {
-            text = json::text(*content);
-        } else if (content->IsArray()) {
-            for (const auto& part : content->GetArray()) {
-                const auto* said = json::find(part, "text");
-                if (said == nullptr || !said->IsString()) return out;
-                text += json::text(*said);
-            }
-        } else {
-            return out;
-        }
-        // Templates write tool calls in ways of their own: nothing behind them can be matched.
-        if (json::find(m, "tool_calls") != nullptr) return out;
-        std::string_view left = rendered.message;
-        while (!left.empty()) {
-            if (left.starts_with("{role}")) {
-                out += json::text(*role);
-                left.remove_prefix(6);
-            } else if (left.starts_with("{content}")) {
-                out += text;
-                left.remove_prefix(9);
-            } else {
-                out += left.front();
-                left.remove_prefix(1);
-            }
-        }
+        const auto text = content_text(*content);
+        if (!text) return out;
+        // Templates render tool calls in ways of their own: no text after them can be matched.
+        if (json::find(message, "tool_calls") != nullptr) return out;
+        append_rendered(out, rendered.message, json::text(*role), *text);
     }
     return out;
 }
