--- a/adapter/host.cpp
+++ b/adapter/host.cpp
@@ -10,15 +10,17 @@
 namespace chalksail::wire {
 namespace {
 
-struct EndpointEntry {
+// A gateway of the bench, and the events of the current batch for it.
+struct Instance {
     std::optional<Router> router;
     std::vector<Event> events;
 };
 
+// Owns the instances of one bench run.
 class Host {
 public:
-    // Takes one line; writes the reply when it ends a batch.
-    void take(Line line, std::ostream& out) {
+    // Handles one line; writes the reply when it ends a batch. Throws BadLine.
+    void handle(Line line, std::ostream& out) {
         if (auto* begin = std::get_if<BatchBegins>(&line)) {
             if (open_) throw BadLine("field 'verb': begin_batch inside a batch");
             if (begin->now < now_) throw BadLine("field 'now_ns': the clock went backwards");
@@ -29,11 +31,11 @@
         if (!open_) throw BadLine("field 'verb': no batch has begun");
         if (std::holds_alternative<BatchEnds>(line)) {
             for (auto& [name, instance] : instances_) reply(name, instance, out);
-            out << reply_end << '\n' << std::flush;
+            out << kReplyEnd << '\n' << std::flush;
             open_ = false;
         } else if (auto* started = std::get_if<Started>(&line)) {
             try {
-                instances_[started->instance] = EndpointEntry{Router(started->settings, started->seed), {}};
+                instances_[started->instance] = Instance{Router(started->settings, started->seed), {}};
             } catch (const std::invalid_argument& error) {
                 throw BadLine(std::string("field 'options': ") + error.what());
             }
@@ -41,25 +43,25 @@
             find(killed->instance);
             instances_.erase(killed->instance);
         } else {
-            auto& seen = std::get<Seen>(line);
-            find(seen.instance).events.push_back(std::move(seen.event));
+            auto& received = std::get<EventReceived>(line);
+            find(received.instance).events.push_back(std::move(received.event));
         }
     }
 
 private:
-    EndpointEntry& find(const std::string& name) {
+    Instance& find(const std::string& name) {
         const auto it = instances_.find(name);
         if (it == instances_.end()) throw BadLine("field 'who': instance '" + name + "' has not started");
         return it->second;
     }
-    void reply(const std::string& name, EndpointEntry& instance, std::ostream& out) const {
+    void reply(const std::string& name, Instance& instance, std::ostream& out) const {
         if (instance.events.empty()) return;
         for (const auto& action : instance.router->step(now_, instance.events))
             out << format(name, action) << '\n';
         instance.events.clear();
     }
 
-    std::map<std::string, EndpointEntry> instances_;
+    std::map<std::string, Instance> instances_;
     Time now_{};
     bool open_ = false;
 };
@@ -72,7 +74,7 @@
     for (std::size_t number = 1; std::getline(in, text); ++number) {
         if (text.empty()) continue;
         try {
-            host.take(parse(text), out);
+            host.handle(parse(text), out);
         } catch (const BadLine& error) {
             errors << "chalksail_adapter: line " << number << ": " << error.what() << '\n';
             return 1;
--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -114,101 +114,115 @@
         return Started{who, required<std::uint64_t>(line, "init_seed"),
                        platform::read_settings(object(line, "options"))};
     if (verb == "killed") return Killed{who};
-    if (verb == "backends_changed") return Seen{who, list(line)};
-    if (verb == "incoming") return Seen{who, arrived(line)};
+    if (verb == "backends_changed") return EventReceived{who, list(line)};
+    if (verb == "incoming") return EventReceived{who, arrived(line)};
     if (verb == "headers")
-        return Seen{who, StreamStarted{ticket(line), shot(line), server(line),
-                                       optional<Duration>(line, "time_taken_ns")}};
-    if (verb == "reply") return Seen{who, attempt_ended(line)};
+        return EventReceived{who, StreamStarted{ticket(line), shot(line), server(line),
+                                                optional<Duration>(line, "time_taken_ns")}};
+    if (verb == "reply") return EventReceived{who, attempt_ended(line)};
     if (verb == "note")
-        return Seen{who,
-                    ReservationResult{ticket(line), server(line), required<std::int64_t>(line, "kind") == 1}};
-    if (verb == "hangup") return Seen{who, ClientDisconnected{ticket(line)}};
-    if (verb == "due") return Seen{who, TimerFired{{required<std::uint64_t>(line, "name")}}};
+        return EventReceived{
+            who, ReservationResult{ticket(line), server(line), required<std::int64_t>(line, "kind") == 1}};
+    if (verb == "hangup") return EventReceived{who, ClientDisconnected{ticket(line)}};
+    if (verb == "due") return EventReceived{who, TimerFired{{required<std::uint64_t>(line, "name")}}};
     if (verb == "probe_done")
-        return Seen{who,
-                    HealthCheckEnded{server(line), outcome(line), optional<Duration>(line, "time_taken_ns"),
-                                     row<double>(line, "report")}};
+        return EventReceived{
+            who, HealthCheckEnded{server(line), outcome(line), optional<Duration>(line, "time_taken_ns"),
+                                  row<double>(line, "report")}};
     if (verb == "heard")
-        return Seen{who,
-                    PeerMessage{required<std::int64_t>(line, "from"), required<std::string>(line, "bytes")}};
+        return EventReceived{
+            who, PeerMessage{required<std::int64_t>(line, "from"), required<std::string>(line, "bytes")}};
     reject("verb", "unknown verb");
 }
 
-std::string format(const std::string& instance, const Action& action) {
-    rapidjson::StringBuffer buffer;
-    rapidjson::Writer<rapidjson::StringBuffer> out(buffer);
-    const auto text = [&](const char* key, const std::string& value) {
-        out.Key(key);
-        out.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
-    };
-    const auto begin = [&](const char* verb) {
-        out.StartObject();
+namespace {
+
+// Writes one action as a line of JSON; the visitor of `Action`.
+class ActionWriter {
+public:
+    explicit ActionWriter(const std::string& instance) : instance_(instance) {}
+
+    void operator()(const Send& a) {
+        begin("relay");
+        id(a.id);
+        if (a.timeout != Duration::zero()) number("max_wait_ns", a.timeout.count());
+        text("server", a.server.value);
+    }
+    void operator()(const Reject& a) {
+        begin("say_no");
+        id(a.id);
+        if (a.retry_after != Duration::zero()) number("retry_in_ns", a.retry_after.count());
+    }
+    void operator()(const Fail& a) {
+        begin("abort");
+        id(a.id);
+    }
+    void operator()(const CancelAttempt& a) {
+        begin("abort_attempt");
+        id(a.id);
+        number("shot", a.attempt.value);
+    }
+    void operator()(const ReleaseKvState& a) {
+        begin("unhold");
+        id(a.id);
+    }
+    void operator()(const MigrateStream& a) {
+        begin("relocate");
+        id(a.id);
+    }
+    void operator()(const Reserve& a) {
+        begin("book_seat");
+        id(a.id);
+        text("server", a.server.value);
+    }
+    void operator()(const HealthCheck& a) {
+        begin("health_check");
+        text("server", a.server.value);
+    }
+    void operator()(const SetTimer& a) {
+        begin("wake_me");
+        number("time_ns", a.at.time_since_epoch().count());
+        number("name", static_cast<std::int64_t>(a.id.value));
+    }
+    void operator()(const WatchEndpoints& a) {
+        begin("follow");
+        writer_.Key("on");
+        writer_.Bool(a.enabled);
+    }
+
+    // The line, once the action has been written.
+    [[nodiscard]] std::string finish() {
+        writer_.EndObject();
+        return buffer_.GetString();
+    }
+
+private:
+    void begin(const char* verb) {
+        writer_.StartObject();
         text("verb", verb);
-        text("who", instance);
-    };
-    const auto number = [&](const char* key, std::int64_t value) {
-        out.Key(key);
-        out.Int64(value);
-    };
-    const auto id = [&](RequestId request) { number("ticket", static_cast<std::int64_t>(request.value)); };
-    struct Visitor {
-        decltype(begin)& begin_;
-        decltype(text)& text_;
-        decltype(number)& number_;
-        decltype(id)& id_;
-        rapidjson::Writer<rapidjson::StringBuffer>& out_;
-        void operator()(const Send& a) const {
-            begin_("relay");
-            id_(a.id);
-            if (a.timeout != Duration::zero()) number_("max_wait_ns", a.timeout.count());
-            text_("server", a.server.value);
-        }
-        void operator()(const Reject& a) const {
-            begin_("say_no");
-            id_(a.id);
-            if (a.retry_after != Duration::zero()) number_("retry_in_ns", a.retry_after.count());
-        }
-        void operator()(const Fail& a) const {
-            begin_("abort");
-            id_(a.id);
-        }
-        void operator()(const CancelAttempt& a) const {
-            begin_("abort_attempt");
-            id_(a.id);
-            number_("shot", a.attempt.value);
-        }
-        void operator()(const ReleaseKvState& a) const {
-            begin_("unhold");
-            id_(a.id);
-        }
-        void operator()(const MigrateStream& a) const {
-            begin_("relocate");
-            id_(a.id);
-        }
-        void operator()(const Reserve& a) const {
-            begin_("book_seat");
-            id_(a.id);
-            text_("server", a.server.value);
-        }
-        void operator()(const HealthCheck& a) const {
-            begin_("health_check");
-            text_("server", a.server.value);
-        }
-        void operator()(const SetTimer& a) const {
-            begin_("wake_me");
-            number_("time_ns", a.at.time_since_epoch().count());
-            number_("name", static_cast<std::int64_t>(a.id.value));
-        }
-        void operator()(const WatchEndpoints& a) const {
-            begin_("follow");
-            out_.Key("on");
-            out_.Bool(a.enabled);
-        }
-    };
-    std::visit(Visitor{begin, text, number, id, out}, action);
-    out.EndObject();
-    return buffer.GetString();
+        text("who", instance_);
+    }
+    void text(const char* key, const std::string& value) {
+        writer_.Key(key);
+        writer_.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
+    }
+    void number(const char* key, std::int64_t value) {
+        writer_.Key(key);
+        writer_.Int64(value);
+    }
+    void id(RequestId request) { number("ticket", static_cast<std::int64_t>(request.value)); }
+
+    const std::string& instance_;
+    rapidjson::StringBuffer buffer_;
+    rapidjson::Writer<rapidjson::StringBuffer> writer_{buffer_};
+};
+
+}  // namespace
+
+std::string format(const std::string& instance, const Action& action) {
+    ActionWriter writer(instance);
+    std::visit(writer, action);
+    return writer.finish();
 }
 
 }  // namespace chalksail::wire
--- a/apps/edge/main.cpp
+++ b/apps/edge/main.cpp
@@ -1,5 +1,5 @@
-// chalksail-edge: takes OpenAI-style chat requests and streams the answers of a fleet of prefill and decode
-// engines.
+// chalksail-edge: serves OpenAI-style chat requests and streams the responses of a fleet of prefill and
+// decode servers.
 #include <uv.h>
 
 #include <CLI/CLI.hpp>
@@ -26,8 +26,8 @@
 
 using chalksail::config::EdgeSettings;
 
-// What fails at the start for want of descriptors is tried again for a second.
-constexpr int kStartTries = 50;
+// What fails at start-up for lack of file descriptors is retried for a second.
+constexpr int kStartAttempts = 50;
 constexpr unsigned kStartPauseMs = 20;
 
 // The settings, or nothing after the problems have been written to standard error.
@@ -73,16 +73,18 @@
     return 0;
 }
 
-// Caught from before the listener opens, so that no signal ends the program with requests taken. One that
-// comes before the loop runs is handled by its first turn.
+// SIGTERM and SIGINT start a graceful shutdown, SIGHUP a reload. Signals are caught from before the listener
+// opens, so that none ends the program while it has accepted requests. One that arrives before the loop runs
+// is handled in its first iteration.
 class Signals {
 public:
-    // Reads the settings again; its error says why they were not taken.
+    // Reads the configuration again; the error says why it was not applied.
     using Reload = std::function<tl::expected<void, std::string>()>;
 
     explicit Signals(chalksail::observe::Log& log) : log_(log) {}
-    void serve(chalksail::net::EdgeServer& shell, Reload reload) {
-        shell_ = &shell;
+    // Which server and reload the signals are for; call it before the loop runs.
+    void serve(chalksail::net::EdgeServer& server, Reload reload) {
+        server_ = &server;
         reload_ = std::move(reload);
     }
     void start(uv_loop_t& loop) {
@@ -90,47 +92,50 @@
             uv_signal_init(&loop, handle);
             handle->data = this;
             uv_signal_start(
-                handle, [](uv_signal_t* s, int) { static_cast<Signals*>(s->data)->shell_->drain(); }, number);
+                handle, [](uv_signal_t* s, int) { static_cast<Signals*>(s->data)->server_->drain(); },
+                number);
             uv_unref(reinterpret_cast<uv_handle_t*>(handle));
         }
         uv_timer_init(&loop, &retry_);
         retry_.data = this;
         uv_unref(reinterpret_cast<uv_handle_t*>(&retry_));
-        uv_signal_init(&loop, &hang_up_);
-        hang_up_.data = this;
+        uv_signal_init(&loop, &reload_signal_);
+        reload_signal_.data = this;
         uv_signal_start(
-            &hang_up_, [](uv_signal_t* s, int) { static_cast<Signals*>(s->data)->on_hang_up(); }, SIGHUP);
-        uv_unref(reinterpret_cast<uv_handle_t*>(&hang_up_));
+            &reload_signal_, [](uv_signal_t* s, int) { static_cast<Signals*>(s->data)->on_reload_signal(); },
+            SIGHUP);
+        uv_unref(reinterpret_cast<uv_handle_t*>(&reload_signal_));
     }
     void stop() {
         uv_close(reinterpret_cast<uv_handle_t*>(&retry_), nullptr);
-        uv_close(reinterpret_cast<uv_handle_t*>(&hang_up_), nullptr);
+        uv_close(reinterpret_cast<uv_handle_t*>(&reload_signal_), nullptr);
         uv_close(reinterpret_cast<uv_handle_t*>(&term_), nullptr);
         uv_close(reinterpret_cast<uv_handle_t*>(&interrupt_), nullptr);
     }
 
 private:
-    static constexpr chalksail::Duration kRetryLeast = std::chrono::milliseconds(10);
-    static constexpr chalksail::Duration kRetryMost = std::chrono::milliseconds(100);
-    // What a new configuration tells counts some seconds after its signal: by then it has been read, or is
-    // bad.
-    static constexpr chalksail::Duration kRetryPatience = std::chrono::seconds(3);
+    static constexpr chalksail::Duration kRetryPauseMin = std::chrono::milliseconds(10);
+    static constexpr chalksail::Duration kRetryPauseMax = std::chrono::milliseconds(100);
+    // A new configuration is expected to be in force some seconds after its signal: by then it has been read,
+    // or is invalid.
+    static constexpr chalksail::Duration kRetryTimeout = std::chrono::seconds(3);
 
-    void on_hang_up() {
-        retry_until_ = chalksail::net::uv_now_time() + kRetryPatience;
+    void on_reload_signal() {
+        retry_until_ = chalksail::net::uv_now_time() + kRetryTimeout;
         backoff_.reset();
-        told_.clear();
+        logged_error_.clear();
         try_reload();
     }
-    // Guards against a reload that is given up for a file that is just being replaced or written, or for a
-    // moment without a descriptor.
+    // Guards against giving up a reload because the file is being replaced or written at that moment, or no
+    // file descriptor is free.
     void try_reload() {
-        // The shell may have ended in this turn: what a reload would reach is gone then.
-        if (shell_->finished()) return;
-        const auto taken = reload_();
-        if (taken) return;
-        if (taken.error() != told_) log_.error("configuration", taken.error() + "; the old one stays");
-        told_ = taken.error();
+        // The server may have ended in this iteration; what a reload would change no longer exists then.
+        if (server_->finished()) return;
+        const auto reloaded = reload_();
+        if (reloaded) return;
+        if (reloaded.error() != logged_error_)
+            log_.error("configuration", reloaded.error() + "; the old one stays");
+        logged_error_ = reloaded.error();
         if (chalksail::net::uv_now_time() >= retry_until_) return;
         const auto pause = std::chrono::duration_cast<std::chrono::milliseconds>(backoff_.next()).count();
         uv_timer_start(
@@ -139,33 +144,34 @@
     }
 
     chalksail::observe::Log& log_;
-    chalksail::net::EdgeServer* shell_ = nullptr;
+    chalksail::net::EdgeServer* server_ = nullptr;
     Reload reload_;
     uv_signal_t term_{};
     uv_signal_t interrupt_{};
-    uv_signal_t hang_up_{};
+    uv_signal_t reload_signal_{};
     uv_timer_t retry_{};
-    chalksail::Backoff backoff_{kRetryLeast, kRetryMost};
+    chalksail::Backoff backoff_{kRetryPauseMin, kRetryPauseMax};
     chalksail::Time retry_until_{};
-    std::string told_;  // the error last logged of this reload
+    std::string logged_error_;  // last logged for this reload
 };
 
-// Serves until a signal ends it. `list` and `reload` may need the loop, and come of it.
+// Where the endpoint list and a new configuration come from. Both may need the loop.
 struct Origin {
     std::unique_ptr<chalksail::membership::ListSource> list;
     Signals::Reload reload;
 };
-// Guards against a gateway that does not come up as its machine is short of descriptors at that moment. An
-// error of libuv's, or 0.
+// Guards against a gateway that does not start because its machine is short of file descriptors at that
+// moment. Returns 0 or an error of libuv's.
 int open_loop(uv_loop_t& loop) {
     int error = 0;
-    for (int tries = 0; tries < kStartTries; ++tries) {
+    for (int attempts = 0; attempts < kStartAttempts; ++attempts) {
         error = uv_loop_init(&loop);
         if (error == 0) return 0;
         uv_sleep(kStartPauseMs);
     }
     return error;
 }
+// Serves until a signal ends it.
 int serve(const EdgeSettings& settings,
           const std::function<Origin(uv_loop_t&, chalksail::observe::Log&)>& origin_of) {
     std::signal(SIGPIPE, SIG_IGN);
@@ -180,15 +186,15 @@
     signals.start(loop);
     try {
         Origin origin = origin_of(loop, log);
-        chalksail::net::EdgeServer shell(loop, settings, log, std::move(origin.list));
-        const auto reload_tls = [&shell]() -> tl::expected<void, std::string> {
-            shell.reload_tls();
+        chalksail::net::EdgeServer server(loop, settings, log, std::move(origin.list));
+        const auto reload_tls = [&server]() -> tl::expected<void, std::string> {
+            server.reload_tls();
             return {};
         };
-        signals.serve(shell, origin.reload ? std::move(origin.reload) : reload_tls);
+        signals.serve(server, origin.reload ? std::move(origin.reload) : reload_tls);
         chalksail::json::ObjectWriter line;
-        line.text("event", "listening").text("address", format_address(shell.address()));
-        if (settings.admin) line.text("admin", format_address(shell.admin_address()));
+        line.text("event", "listening").text("address", format_address(server.address()));
+        if (settings.admin) line.text("admin", format_address(server.admin_address()));
         std::cout << line.done() << std::endl;
         uv_run(&loop, UV_RUN_DEFAULT);
     } catch (const std::exception& error) {
@@ -211,6 +217,7 @@
 
 // ---- the users' platform ----
 
+// An environment variable; empty if it is not set.
 std::string variable(const char* name) {
     const char* const value = std::getenv(name);
     return value == nullptr ? std::string() : std::string(value);
@@ -218,7 +225,7 @@
 
 constexpr std::string_view kUnreadable = "can't be read";
 
-// At a reload the file alone counts: the variables are those of the start.
+// A reload reads the file alone: the variables override only at the start.
 tl::expected<chalksail::platform::Configuration, std::string> read_configuration(
     const std::string& file, const chalksail::platform::Environment& environment) {
     std::ifstream in(file, std::ios::binary);
@@ -242,19 +249,20 @@
     }
     const chalksail::platform::Environment environment{variable("EDGE_NAME"), variable("EDGE_LISTEN"),
                                                        variable("EDGE_DISCOVERY")};
-    auto told = read_configuration(file, environment);
-    // The same for a file that can't be opened at that moment.
-    for (int tries = 0; !told && told.error() == kUnreadable && tries < kStartTries; ++tries) {
+    auto configuration = read_configuration(file, environment);
+    // The same retries for a file that can't be opened at that moment.
+    for (int tries = 0; !configuration && configuration.error() == kUnreadable && tries < kStartAttempts;
+         ++tries) {
         uv_sleep(kStartPauseMs);
-        told = read_configuration(file, environment);
+        configuration = read_configuration(file, environment);
     }
-    if (!told) {
-        std::cerr << file << ": " << told.error() << '\n';
+    if (!configuration) {
+        std::cerr << file << ": " << configuration.error() << '\n';
         return 1;
     }
-    const auto settings = chalksail::core::platform_settings(*told);
+    const auto settings = chalksail::core::platform_settings(*configuration);
     return serve(settings, [&](uv_loop_t& loop, chalksail::observe::Log& log) {
-        const auto& l = told->limits;
+        const auto& l = configuration->limits;
         log.info("configuration",
                  "gateway " + std::to_string(settings.module.gateway) + " of " +
                      std::to_string(settings.module.gateways) + "; " + std::to_string(l.memory_mb) + " MB, " +
@@ -262,8 +270,8 @@
                      " descriptors: " + std::to_string(settings.limits.connections) + " for clients, " +
                      std::to_string(settings.limits.server_connections) + " for servers; streams " +
                      (settings.module.stream_resumption_enabled ? "can" : "can't") + " be resumed");
-        auto watch = std::make_unique<chalksail::net::DiscoveryWatch>(loop, log, told->discovery,
-                                                                      std::move(told->known));
+        auto watch = std::make_unique<chalksail::net::DiscoveryWatch>(loop, log, configuration->discovery,
+                                                                      std::move(configuration->known));
         auto* const list = watch.get();
         const auto reload = [list, file]() -> tl::expected<void, std::string> {
             const auto now = read_configuration(file, {});
--- a/apps/edge/tls_probe.cpp
+++ b/apps/edge/tls_probe.cpp
@@ -17,9 +17,10 @@
 using namespace chalksail;
 using namespace chalksail::net;
 
-constexpr int kWaitMs = 3000;    // for each answer of the server
-constexpr int kTicketsMs = 300;  // for tickets, which come after the handshake
+constexpr int kResponseTimeoutMs = 3000;  // for each message of the server
+constexpr int kTicketTimeoutMs = 300;     // for session tickets, which come after the handshake
 
+// A connected socket; -1 if there is none.
 int dial(const Address& address) {
     const bool six = address.host.find(':') != std::string::npos;
     const int fd = socket(six ? AF_INET6 : AF_INET, SOCK_STREAM, 0);
@@ -38,8 +39,8 @@
     return -1;
 }
 
-// One handshake, and what follows it at once. Says on standard output what was seen.
-bool shake(int fd, tls::Filter& filter) {
+// One handshake, and the tickets that follow it. Prints a failure on standard output.
+bool handshake(int fd, tls::Filter& filter) {
     auto step = filter.start();
     for (;;) {
         for (std::size_t sent = 0; sent < step.to_peer.size();) {
@@ -54,7 +55,7 @@
         }
         if (step.ended) return filter.connected();
         pollfd ready{fd, POLLIN, 0};
-        if (poll(&ready, 1, filter.connected() ? kTicketsMs : kWaitMs) <= 0) {
+        if (poll(&ready, 1, filter.connected() ? kTicketTimeoutMs : kResponseTimeoutMs) <= 0) {
             if (!filter.connected()) std::cout << "result: no answer in time\n";
             return filter.connected();
         }
@@ -89,7 +90,7 @@
         }
         const auto filter =
             tls::Filter::client(files.context(), expected, &files.sessions(), std::time(nullptr));
-        const bool good = shake(fd, *filter);
+        const bool good = handshake(fd, *filter);
         close(fd);
         const auto facts = filter->facts();
         for (std::size_t i = 0; i < facts.chain.size(); ++i)
--- a/apps/lab/main.cpp
+++ b/apps/lab/main.cpp
@@ -1,4 +1,5 @@
-// chalksail-lab: stand-in engines, load and troubles around real edges, on loopback.
+// chalksail-lab: runs scenarios of simulated engines, client workload and faults, either around real edges on
+// loopback or in virtual time, and checks the records against the five rules.
 #include <uv.h>
 
 #include <CLI/CLI.hpp>
@@ -35,7 +36,7 @@
     return std::string{std::istreambuf_iterator<char>(in), {}};
 }
 
-// A base is found beside the file that names it; one that has a base itself is refused.
+// A base is looked up beside the file that names it; one that has a base itself is an error.
 std::optional<Scenario> read_scenario(const std::string& file, bool may_have_base = true) {
     const auto text = read_file(file);
     if (!text) return std::nullopt;
@@ -67,12 +68,12 @@
     uv_loop_t loop;
     uv_loop_init(&loop);
     {
-        ScenarioRun rehearsal(loop, std::move(*scenario), {beside_this("chalksail-edge"), folder});
-        rehearsal.start();
-        for (const auto& [name, address] : rehearsal.gateways())
+        ScenarioRun scenario_run(loop, std::move(*scenario), {beside_this("chalksail-edge"), folder});
+        scenario_run.start();
+        for (const auto& [name, address] : scenario_run.gateways())
             std::cout << name << " serves at http://" << format_address(address) << "/v1" << std::endl;
         std::cout << "records and logs: " << folder << "; end with SIGINT" << std::endl;
-        rehearsal.serve();
+        scenario_run.serve();
     }
     uv_loop_close(&loop);
     return 0;
@@ -93,9 +94,9 @@
     uv_loop_init(&loop);
     std::optional<ScenarioResult> result;
     {
-        ScenarioRun rehearsal(loop, std::move(*scenario), {beside_this("chalksail-edge"), folder});
-        rehearsal.start();
-        result = rehearsal.run();
+        ScenarioRun scenario_run(loop, std::move(*scenario), {beside_this("chalksail-edge"), folder});
+        scenario_run.start();
+        result = scenario_run.run();
     }
     uv_loop_close(&loop);
     for (const auto& breach : result->verdict.breaches) std::cout << format(breach) << '\n';
@@ -103,6 +104,43 @@
     return result->verdict.breaches.empty() && result->verdict.garbled == 0 && result->edges_well ? 0 : 1;
 }
 
+// Opens the file for the records, with its folder. False after a message on standard error.
+bool open_records(const std::string& file, std::ofstream& out) {
+    std::filesystem::create_directories(std::filesystem::absolute(file).parent_path());
+    out.open(file, std::ios::binary | std::ios::trunc);
+    if (!out) std::cerr << file << ": can't be written\n";
+    return static_cast<bool>(out);
+}
+
+// The last line of a simulation: one JSON object.
+std::string format_summary(const RuleReport& verdict, const VirtualFigures& figures, const Account& account) {
+    const auto& all = account.all();
+    const auto whole = [](std::size_t n) { return static_cast<std::int64_t>(n); };
+    const double attempts_per_request =
+        all.asked == 0 ? 0 : static_cast<double>(account.attempts()) / static_cast<double>(all.asked);
+    return json::ObjectWriter()
+        .flag("simulated", true)
+        .whole("asked", whole(all.asked))
+        .whole("served", whole(all.served))
+        .whole("in_time", whole(all.in_time))
+        .whole("refused", whole(all.refused))
+        .whole("failed", whole(all.failed))
+        .whole("hung_up", whole(all.gone))
+        .number("worth", all.worth_share())
+        .number("first_token_p50_ms", account.first_token_ms().quantile(0.5))
+        .number("first_token_p90_ms", account.first_token_ms().quantile(0.9))
+        .number("first_token_p99_ms", account.first_token_ms().quantile(0.99))
+        .number("attempts_per_request", attempts_per_request)
+        .number("waste", account.waste())
+        .whole("cold_servers_fell", whole(figures.fell))
+        .whole("guards", whole(figures.guards))
+        .whole("open_at_end", whole(figures.open_at_end))
+        .whole("dialled", static_cast<std::int64_t>(figures.connections.dialled))
+        .whole("dial_failed", static_cast<std::int64_t>(figures.connections.dial_failed))
+        .whole("rules_broken", whole(verdict.breaches.size()))
+        .done();
+}
+
 // In virtual time: no socket, no program but this one.
 int simulate(const std::string& file, std::optional<std::uint64_t> seed, const std::string& records) {
     auto scenario = read_scenario(file);
@@ -113,64 +151,33 @@
     std::cout << "'" << scenario->name << "' in virtual time, seed " << scenario->seed << ": "
               << scenario->engines.size() << " engines, " << scenario->edges << " edges, "
               << scenario->clients << " clients, " << format_duration(length) << std::endl;
-    Simulation day(std::move(*scenario));
-    day.keep_records(false);
+    Simulation simulation(std::move(*scenario));
+    simulation.keep_records(false);
     std::ofstream out;
     if (!records.empty()) {
-        std::filesystem::create_directories(std::filesystem::absolute(records).parent_path());
-        out.open(records, std::ios::binary | std::ios::trunc);
-        if (!out) {
-            std::cerr << records << ": can't be written\n";
-            return 2;
-        }
-        day.watch([&](const Record& r) { out << format(r) << '\n'; });
+        if (!open_records(records, out)) return 2;
+        simulation.watch([&](const Record& r) { out << format(r) << '\n'; });
     }
-    day.each_second([&](Duration over) {
-        std::cerr << "\r" << format_duration(std::min(over, length)) << " of " << format_duration(length)
+    simulation.each_second([&](Duration elapsed) {
+        std::cerr << "\r" << format_duration(std::min(elapsed, length)) << " of " << format_duration(length)
                   << "   " << std::flush;
     });
-    Account account(classes, day.begin());
-    day.watch([&](const Record& r) { account.add(r); });
-    const auto begun = std::chrono::steady_clock::now();
-    const auto verdict = day.run();
-    const std::chrono::duration<double> took = std::chrono::steady_clock::now() - begun;
+    Account account(classes, simulation.begin());
+    simulation.watch([&](const Record& r) { account.add(r); });
+    const auto started = std::chrono::steady_clock::now();
+    const auto verdict = simulation.run();
+    const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - started;
+    const auto& figures = simulation.figures();
     std::cerr << '\n';
     for (const auto& breach : verdict.breaches) std::cout << format(breach) << '\n';
-    const auto& f = day.figures();
-    const auto& all = account.all();
-    const auto whole = [](std::size_t n) { return static_cast<std::int64_t>(n); };
-    std::cerr << "took " << took.count() << " s, "
-              << std::chrono::duration<double>(length).count() / took.count() << " of real time; "
-              << static_cast<double>(verdict.asked) / took.count() << " requests a second; " << f.acts
-              << " acts, " << f.steps << " steps of cores\n";
-    std::cout << json::ObjectWriter()
-                     .flag("simulated", true)
-                     .whole("asked", whole(all.asked))
-                     .whole("served", whole(all.served))
-                     .whole("in_time", whole(all.in_time))
-                     .whole("refused", whole(all.refused))
-                     .whole("failed", whole(all.failed))
-                     .whole("hung_up", whole(all.gone))
-                     .number("worth", all.worth_share())
-                     .number("first_token_p50_ms", account.first_token_ms().quantile(0.5))
-                     .number("first_token_p90_ms", account.first_token_ms().quantile(0.9))
-                     .number("first_token_p99_ms", account.first_token_ms().quantile(0.99))
-                     .number("attempts_per_request",
-                             all.asked == 0
-                                 ? 0
-                                 : static_cast<double>(account.attempts()) / static_cast<double>(all.asked))
-                     .number("waste", account.waste())
-                     .whole("cold_servers_fell", whole(f.fell))
-                     .whole("guards", whole(f.guards))
-                     .whole("open_at_end", whole(f.open_at_end))
-                     .whole("dialled", static_cast<std::int64_t>(f.connections.dialled))
-                     .whole("dial_failed", static_cast<std::int64_t>(f.connections.dial_failed))
-                     .whole("rules_broken", whole(verdict.breaches.size()))
-                     .done()
-              << std::endl;
-    const auto fails = what_fails(verdict, f);
-    if (fails) std::cout << "does not hold: " << *fails << std::endl;
-    return fails ? 1 : 0;
+    std::cerr << "took " << elapsed.count() << " s, "
+              << std::chrono::duration<double>(length).count() / elapsed.count() << " of real time; "
+              << static_cast<double>(verdict.asked) / elapsed.count() << " requests a second; "
+              << figures.acts << " acts, " << figures.steps << " steps of cores\n";
+    std::cout << format_summary(verdict, figures, account) << std::endl;
+    const auto failure = what_fails(verdict, figures);
+    if (failure) std::cout << "does not hold: " << *failure << std::endl;
+    return failure ? 1 : 0;
 }
 
 int compare(const std::string& file, std::size_t seeds) {
@@ -366,78 +373,130 @@
     return result.verdict.breaches.empty() ? 0 : 1;
 }
 
-}  // namespace
+// ---- the command line ----
 
-int main(int argc, char** argv) {
-    std::signal(SIGPIPE, SIG_IGN);
-    CLI::App app{"chalksail-lab: rehearsals of real edges against stand-in engines, on loopback"};
-    app.require_subcommand(1);
-    std::string file;
+// What the options of all commands set.
+struct Options {
+    std::string file;  // a scenario, or records to check
     std::string folder = "found/lab";
-    auto* up_command = app.add_subcommand("up", "Start engines and edges and serve until SIGINT");
-    auto* run_command = app.add_subcommand(
-        "run", "Play a scenario; the last line is one JSON object; exit 1 if a rule broke");
+    std::string wire;  // the file of a run's records
+    std::string page = "report.html";
+    std::string mutation;
+    bool virtual_time = false;
+    std::optional<std::uint64_t> seed;
+    std::uint64_t from = 1;
     std::size_t seeds = 5;
-    auto* compare_command = app.add_subcommand(
+    std::size_t swarm_seeds = 20;
+    std::vector<int> sweep_engines = {12, 60, 250};
+    std::vector<int> sweep_edges = {2, 20, 140};
+};
+
+struct Commands {
+    CLI::App* up = nullptr;
+    CLI::App* run = nullptr;
+    CLI::App* compare = nullptr;
+    CLI::App* check = nullptr;
+    CLI::App* sweep = nullptr;
+    CLI::App* report = nullptr;
+    CLI::App* search = nullptr;
+    CLI::App* swarm = nullptr;
+};
+
+constexpr int kSeedsMost = 1000;
+
+void add_run_commands(CLI::App& app, Commands& commands, Options& options) {
+    commands.up = app.add_subcommand("up", "Start engines and edges and serve until SIGINT");
+    commands.run = app.add_subcommand(
+        "run", "Play a scenario; the last line is one JSON object; exit 1 if a rule broke");
+    commands.compare = app.add_subcommand(
         "compare", "Play a scenario's arms in virtual time, each over some seeds; exit 1 if a rule broke");
-    compare_command->add_option("scenario", file, "A scenario with arms, in KDL")->required();
-    compare_command->add_option("--seeds", seeds, "How many")
+    commands.compare->add_option("scenario", options.file, "A scenario with arms, in KDL")->required();
+    commands.compare->add_option("--seeds", options.seeds, "How many")
         ->capture_default_str()
-        ->check(CLI::Range(1, 1000));
-    auto* check_command = app.add_subcommand("check", "Check recorded wires against the five rules");
-    for (auto* command : {up_command, run_command}) {
-        command->add_option("scenario", file, "A scenario, in KDL")->required();
-        command->add_option("--records", folder, "Folder for records, settings and logs")
+        ->check(CLI::Range(1, kSeedsMost));
+    commands.check = app.add_subcommand("check", "Check recorded wires against the five rules");
+    for (auto* command : {commands.up, commands.run}) {
+        command->add_option("scenario", options.file, "A scenario, in KDL")->required();
+        command->add_option("--records", options.folder, "Folder for records, settings and logs")
             ->capture_default_str();
     }
-    bool virtual_time = false;
-    std::optional<std::uint64_t> seed;
-    run_command->add_flag("--virtual", virtual_time, "In virtual time, without sockets; simulated figures");
-    run_command->add_option("--seed", seed, "In place of the scenario's; in virtual time");
-    std::string wire;
-    run_command->add_option("--wire", wire, "In virtual time: file for the records; none without it");
-    check_command->add_option("records", file, "A wire.jsonl")->required();
-    std::vector<int> sweep_engines = {12, 60, 250};
-    std::vector<int> sweep_edges = {2, 20, 140};
-    auto* sweep_command = app.add_subcommand(
+    commands.run->add_flag("--virtual", options.virtual_time,
+                           "In virtual time, without sockets; simulated figures");
+    commands.run->add_option("--seed", options.seed, "In place of the scenario's; in virtual time");
+    commands.run->add_option("--wire", options.wire,
+                             "In virtual time: file for the records; none without it");
+    commands.check->add_option("records", options.file, "A wire.jsonl")->required();
+}
+
+void add_sweep_command(CLI::App& app, Commands& commands, Options& options) {
+    commands.sweep = app.add_subcommand(
         "sweep", "Play a scenario's arms at several sizes, in virtual time; clients grow with the engines");
-    sweep_command->add_option("scenario", file, "A scenario, in KDL")->required();
-    sweep_command->add_option("--engines", sweep_engines, "Sizes")->delimiter(',')->capture_default_str();
-    sweep_command->add_option("--edges", sweep_edges, "As many")->delimiter(',')->capture_default_str();
-    sweep_command->add_option("--seeds", seeds, "How many for each")->check(CLI::Range(1, 1000));
-    std::uint64_t from = 1;
-    std::size_t swarm_seeds = 20;
-    std::string mutation;
-    std::string page = "report.html";
-    auto* report_command =
+    commands.sweep->add_option("scenario", options.file, "A scenario, in KDL")->required();
+    commands.sweep->add_option("--engines", options.sweep_engines, "Sizes")
+        ->delimiter(',')
+        ->capture_default_str();
+    commands.sweep->add_option("--edges", options.sweep_edges, "As many")
+        ->delimiter(',')
+        ->capture_default_str();
+    commands.sweep->add_option("--seeds", options.seeds, "How many for each")
+        ->check(CLI::Range(1, kSeedsMost));
+}
+
+void add_report_command(CLI::App& app, Commands& commands, Options& options) {
+    commands.report =
         app.add_subcommand("report", "A page with plots, from a scenario and the records of one run of it");
-    report_command->add_option("scenario", file, "The scenario")->required();
-    report_command->add_option("--wire", wire, "The run's records")->required();
-    report_command->add_option("--out", page, "The page")->capture_default_str();
-    auto* search_command = app.add_subcommand(
+    commands.report->add_option("scenario", options.file, "The scenario")->required();
+    commands.report->add_option("--wire", options.wire, "The run's records")->required();
+    commands.report->add_option("--out", options.page, "The page")->capture_default_str();
+}
+
+void add_search_commands(CLI::App& app, Commands& commands, Options& options) {
+    commands.search = app.add_subcommand(
         "search", "Look for the troubles on which the module does worst beside baselines, and shrink them");
-    search_command->add_option("scenario", file, "A scenario, in KDL; its troubles are replaced")->required();
-    search_command->add_option("--from", from, "The first seed")->capture_default_str();
-    search_command->add_option("--seeds", swarm_seeds, "How many")->capture_default_str();
-    search_command->add_option("--found", folder, "Folder for the scenario found")->capture_default_str();
-    auto* swarm_command = app.add_subcommand(
+    commands.search->add_option("scenario", options.file, "A scenario, in KDL; its troubles are replaced")
+        ->required();
+    commands.search->add_option("--from", options.from, "The first seed")->capture_default_str();
+    commands.search->add_option("--seeds", options.swarm_seeds, "How many")->capture_default_str();
+    commands.search->add_option("--found", options.folder, "Folder for the scenario found")
+        ->capture_default_str();
+    commands.swarm = app.add_subcommand(
         "swarm",
         "Play random fleets and troubles in virtual time; exit 1 if anything that must hold does not");
-    swarm_command->add_option("--from", from, "The first seed")->capture_default_str();
-    swarm_command->add_option("--seeds", swarm_seeds, "How many")->capture_default_str();
-    swarm_command->add_option("--mutation", mutation, "Break the core on purpose, until it is caught");
-    swarm_command->add_option("--found", folder, "Folder for the scenarios of what is found")
+    commands.swarm->add_option("--from", options.from, "The first seed")->capture_default_str();
+    commands.swarm->add_option("--seeds", options.swarm_seeds, "How many")->capture_default_str();
+    commands.swarm->add_option("--mutation", options.mutation,
+                               "Break the core on purpose, until it is caught");
+    commands.swarm->add_option("--found", options.folder, "Folder for the scenarios of what is found")
         ->capture_default_str();
+}
+
+int run_command(const Commands& commands, const Options& o) {
+    if (commands.up->parsed()) return up(o.file, o.folder);
+    if (commands.run->parsed())
+        return o.virtual_time ? simulate(o.file, o.seed, o.wire) : run(o.file, o.folder);
+    if (commands.compare->parsed()) return compare(o.file, o.seeds);
+    if (commands.sweep->parsed()) return sweep(o.file, o.sweep_engines, o.sweep_edges, o.seeds);
+    if (commands.report->parsed()) return report(o.file, o.wire, o.page);
+    if (commands.search->parsed()) return search(o.file, o.from, o.swarm_seeds, o.folder);
+    if (commands.swarm->parsed()) return swarm(o.from, o.swarm_seeds, o.mutation, o.folder);
+    return check_records(o.file);
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+    std::signal(SIGPIPE, SIG_IGN);
+    CLI::App app{"chalksail-lab: rehearsals of real edges against stand-in engines, on loopback"};
+    app.require_subcommand(1);
+    Options options;
+    Commands commands;
+    add_run_commands(app, commands, options);
+    add_sweep_command(app, commands, options);
+    add_report_command(app, commands, options);
+    add_search_commands(app, commands, options);
     CLI11_PARSE(app, argc, argv);
     try {
-        if (up_command->parsed()) return up(file, folder);
-        if (run_command->parsed()) return virtual_time ? simulate(file, seed, wire) : run(file, folder);
-        if (compare_command->parsed()) return compare(file, seeds);
-        if (sweep_command->parsed()) return sweep(file, sweep_engines, sweep_edges, seeds);
-        if (report_command->parsed()) return report(file, wire, page);
-        if (search_command->parsed()) return search(file, from, swarm_seeds, folder);
-        if (swarm_command->parsed()) return swarm(from, swarm_seeds, mutation, folder);
-        return check_records(file);
+        return run_command(commands, options);
     } catch (const std::exception& error) {
         std::cerr << "chalksail-lab: " << error.what() << '\n';
         return 2;
