--- a/bench/edge_bench.cpp
+++ b/bench/edge_bench.cpp
@@ -70,8 +70,8 @@
     };
     auto* job = new Job{{}, std::string(bytes + done, n - static_cast<std::size_t>(done))};
     job->w.data = job;
-    uv_buf_t rest = uv_buf_init(job->bytes.data(), static_cast<unsigned>(job->bytes.size()));
-    uv_write(&job->w, reinterpret_cast<uv_stream_t*>(&to->socket), &rest, 1,
+    uv_buf_t remaining = uv_buf_init(job->bytes.data(), static_cast<unsigned>(job->bytes.size()));
+    uv_write(&job->w, reinterpret_cast<uv_stream_t*>(&to->socket), &remaining, 1,
              [](uv_write_t* w, int) { delete static_cast<Job*>(w->data); });
 }
 void relay_read(Side* s) {
@@ -189,7 +189,6 @@
     std::map<net::HttpServer*, std::map<net::HttpServer::Peer, Stream>> streams;
     std::vector<std::unique_ptr<net::HttpServer>> servers;
     std::vector<Address> addresses, tls_addresses;
-    net::HttpServer* asked = nullptr;
     struct One : net::HttpServer::Handler {
         Engines* all = nullptr;
         net::HttpServer* server = nullptr;
@@ -278,7 +277,7 @@
     std::string body, prefill_body;
     bool pairs = false;  // each request is two exchanges, as the edge's own are: a read, then the write
     std::set<net::UpstreamPool::Call> reading;
-    std::map<net::UpstreamPool::Call, Time> asked;
+    std::map<net::UpstreamPool::Call, Time> started_at;
     std::vector<double> first_ms;
     std::set<net::UpstreamPool::Call> begun;
     std::size_t done = 0, failed = 0, bytes = 0;
@@ -306,9 +305,9 @@
         const auto parsed = chat::parse_request(body);
         prefill_body = engine::prefill_body(body, *parsed);
     }
-    void ask() {
+    void start_request() {
         const auto call = ++last;
-        asked[call] = net::uv_now_time();
+        started_at[call] = net::uv_now_time();
         if (pairs) reading.insert(call);
         send(call, pairs ? prefill_body : body);
     }
@@ -318,26 +317,26 @@
         pool.start(call, target, "POST", engine::kChatPath, std::move(headers), what);
     }
     void top_up() {
-        while (asked.size() < keep) ask();
+        while (started_at.size() < keep) start_request();
     }
     void on_head(net::UpstreamPool::Call call, int status, http::Headers) override {
-        if (status != 200) failed += asked.count(call);
+        if (status != 200) failed += started_at.count(call);
     }
     void on_body(net::UpstreamPool::Call call, std::string part) override {
         bytes += part.size();
         if (reading.contains(call)) return;
         if (begun.insert(call).second)
             first_ms.push_back(
-                std::chrono::duration<double, std::milli>(net::uv_now_time() - asked.at(call)).count());
+                std::chrono::duration<double, std::milli>(net::uv_now_time() - started_at.at(call)).count());
     }
     void on_done(net::UpstreamPool::Call call) override {
         if (reading.erase(call) > 0) return send(call, body);
-        asked.erase(call);
+        started_at.erase(call);
         begun.erase(call);
         ++done;
     }
     void on_failed(net::UpstreamPool::Call call, engine::Ending, std::string) override {
-        asked.erase(call);
+        started_at.erase(call);
         begun.erase(call);
         ++failed;
     }
@@ -444,7 +443,7 @@
         spin(length, [&] {
             if (net::uv_now_time() < next) return;
             next += gap;
-            load.ask();
+            load.start_request();
         });
         load.first_ms.erase(load.first_ms.begin(),
                             load.first_ms.begin() + static_cast<std::ptrdiff_t>(load.first_ms.size() / 5));
--- a/bench/flood_bench.cpp
+++ b/bench/flood_bench.cpp
@@ -220,12 +220,12 @@
     // What of it was heard: a flood that is lost on the way costs nothing.
     clients.pool.start(Clients::kMetrics, edge.admin_address(), "GET", "/metrics", {}, "");
     (void)run(500'000'000ULL);
-    const auto told = clients.metrics.find("\nchalksail_prefix_messages{");
-    const auto value = told == std::string::npos ? told : clients.metrics.find("} ", told);
-    const double heard = value == std::string::npos ? -1 : std::atof(clients.metrics.c_str() + value + 2);
+    const auto metric = clients.metrics.find("\nchalksail_prefix_messages{");
+    const auto value = metric == std::string::npos ? metric : clients.metrics.find("} ", metric);
+    const double received = value == std::string::npos ? -1 : std::atof(clients.metrics.c_str() + value + 2);
     std::printf(R"({"streams":%zu,"failed":%d,"events":%s,"batches_heard":%.0f,"quiet":%s,"flood":%s})"
                 "\n",
-                writer.streams.size(), clients.failed, events.c_str(), heard, figures(quiet).c_str(),
+                writer.streams.size(), clients.failed, events.c_str(), received, figures(quiet).c_str(),
                 figures(flood).c_str());
     close(down[1]);
     int status = 0;
--- a/tests/chat/chat_test.cpp
+++ b/tests/chat/chat_test.cpp
@@ -41,7 +41,7 @@
     EXPECT_FALSE(members_of("{\"a\":" + std::string(100, '[') + std::string(100, ']') + "}", 64));
 }
 
-TEST(ChatRequest, WhatTheModuleIsTold) {
+TEST(ChatRequest, GivesWhatThePolicyNeeds) {
     const std::string body =
         R"({"model":"m","stream":true,"stream_options":{"include_usage":true},"max_tokens":5,"max_completion_tokens":9,
         "user":"u","prompt_cache_key":"s1","messages":[{"role":"system","content":"be kind"},{"role":"user","content":"hi"}]})";
--- a/tests/engine/engine_test.cpp
+++ b/tests/engine/engine_test.cpp
@@ -95,15 +95,16 @@
     ASSERT_TRUE(a);
     EXPECT_EQ(a->prompt_tokens, 9);
     EXPECT_EQ(a->cached_tokens, 4);
-    const auto untold = parse_prefill_answer(R"({"usage":{"prompt_tokens":9},"kv_transfer_params":{}})");
-    ASSERT_TRUE(untold);
-    EXPECT_FALSE(untold->cached_tokens);
+    const auto without_count =
+        parse_prefill_answer(R"({"usage":{"prompt_tokens":9},"kv_transfer_params":{}})");
+    ASSERT_TRUE(without_count);
+    EXPECT_FALSE(without_count->cached_tokens);
     EXPECT_EQ(a->kv_params, R"({"remote_block_ids":[1],"x":null})");
     for (const char* bad : {"", "{}", "[]", R"({"kv_transfer_params":null})", R"({"kv_transfer_params":[]})"})
         EXPECT_FALSE(parse_prefill_answer(bad)) << bad;
 }
 
-TEST(Protocol, ReadBodyAsksForOneToken) {
+TEST(Protocol, PrefillBodyRequestsOneToken) {
     const std::string body =
         R"({"model":"m","messages":[{"role":"user","content":"x"}],"max_completion_tokens":50,"min_tokens":5,"n":2,"seed":1})";
     EXPECT_EQ(prefill_body(body, *chat::parse_request(body)).find("min_tokens"), std::string::npos);
--- a/tests/engine/vocabulary_test.cpp
+++ b/tests/engine/vocabulary_test.cpp
@@ -27,7 +27,7 @@
     EXPECT_EQ(text(*v, {7, 4'000'000}), "(?)(?)");
 }
 
-TEST(Vocabulary, Pieces) {
+TEST(Vocabulary, SentencePiece) {
     const auto v = Vocabulary::parse(
         "{\"model\":{\"vocab\":{\"\xe2\x96\x81the\":3,\"<0x0A>\":4,\"<0xZZ>\":5,\"s\":6}}}");
     ASSERT_TRUE(v) << v.error();
--- a/tests/faults/large_fleet_test.cpp
+++ b/tests/faults/large_fleet_test.cpp
@@ -18,14 +18,15 @@
         std::string out;
         for (int i = 0; i < servers; ++i) {
             const bool reads = i % 2 == 0;
-            std::string one = told::instance("s" + std::to_string(i), reads ? "reader" : "writer",
-                                             format_address(reads ? reader->address : writer->address));
+            std::string one =
+                platform_messages::instance("s" + std::to_string(i), reads ? "reader" : "writer",
+                                            format_address(reads ? reader->address : writer->address));
             const std::string started = "\"startedAtMs\":0";
             if (i / 2 % 10 < 3)
                 one.replace(one.find(started), started.size(), "\"startedAtMs\":" + std::to_string(now));
             out += (i > 0 ? "," : "") + one;
         }
-        return told::list_text(out);
+        return platform_messages::list_text(out);
     }
     // The same list with each member on a line of its own, deep in.
     static std::string indented(const std::string& list) {
@@ -69,10 +70,11 @@
     const std::string list = indented(fleet(kServers));
     ASSERT_GT(list.size(), std::size_t{1024} * 1024);  // the limit that it was over
     start_with(list, "", "");
-    const auto told = "\"server\":\"s" + std::to_string(kServers - 1) + "\",\"what\":\"up\"";
+    const auto last_server_up = "\"server\":\"s" + std::to_string(kServers - 1) + "\",\"what\":\"up\"";
     EXPECT_TRUE(until([&] {
         const std::string lines = log();
-        return lines.find(told) != std::string::npos || lines.find("stays in force") != std::string::npos;
+        return lines.find(last_server_up) != std::string::npos ||
+               lines.find("stays in force") != std::string::npos;
     }));
     EXPECT_EQ(log().find("stays in force"), std::string::npos) << log().substr(0, 1000);
     EXPECT_EQ(served(1, "a"), 1);
--- a/tests/faults/process_faults_test.cpp
+++ b/tests/faults/process_faults_test.cpp
@@ -16,7 +16,7 @@
         serve_reads();
         start(reader->address, hung.address(), "");
         DirectClient client(address);
-        client.send(told::post("9b1f", cls, "", "20000m"));
+        client.send(platform_messages::post("9b1f", cls, "", "20000m"));
         bool open = true;
         ASSERT_TRUE(until([&] {
             open = client.read();
@@ -37,19 +37,19 @@
           "accept4:ENFILE:1:3:4 accept4:EMFILE:2:5:3 accept4:ENOBUFS:3:7:2");
     for (int i = 0; i < 12; ++i) {
         DirectClient client(address);
-        client.send(told::post("a" + std::to_string(i)));
+        client.send(platform_messages::post("a" + std::to_string(i)));
         EXPECT_TRUE(answered_whole(client)) << i << "\n" << log();
     }
 }
 
 // Guards against a client that counts as gone because a look at its socket failed for a moment.
-TEST_F(ProcessRig, RequestSurvivesFailuresOfLooksAtItsClient) {
+TEST_F(ProcessRig, RequestSurvivesFailuresOfChecksOfItsClient) {
     serve_reads();
     serve_writes();
     start(reader->address, writer->address, "recv@client:EINTR:1:2:4 recv@client:ENOMEM:2:4:3");
     for (int i = 0; i < 8; ++i) {
         DirectClient client(address);
-        client.send(told::post("a" + std::to_string(i)));
+        client.send(platform_messages::post("a" + std::to_string(i)));
         EXPECT_TRUE(answered_whole(client)) << i << "\n" << log();
     }
 }
@@ -129,7 +129,7 @@
     start(reader->address, writer->address, "read@server:ETIMEDOUT:4:6:3 read@server:EHOSTUNREACH:6:9:3");
     for (int i = 0; i < 8; ++i) {
         DirectClient client(address);
-        client.send(told::post("a" + std::to_string(i), "chat", "", "20000m"));
+        client.send(platform_messages::post("a" + std::to_string(i), "chat", "", "20000m"));
         EXPECT_TRUE(answered_whole(client)) << i << "\n" << log();
     }
     EXPECT_FALSE(exited);
@@ -149,7 +149,7 @@
     const std::string from = format_address(discovery->address);
     text.replace(text.find(from), from.size(), format_address(moved.address));
     std::filesystem::remove(config);
-    hang_up();
+    reload();
     ASSERT_TRUE(until([&] { return log().find("the old one stays") != std::string::npos; }));
     EXPECT_EQ(moved.requests, 0);
     std::ofstream(folder + "/new.json") << text;
--- a/tests/faults/process_rig.hpp
+++ b/tests/faults/process_rig.hpp
@@ -24,7 +24,7 @@
 using net::testing::kStream;
 using net::testing::kStreamHead;
 using net::testing::RawServer;
-namespace told = platform::testing;
+namespace platform_messages = platform::testing;
 
 // A server whose process hangs: the system completes connections to it and takes their bytes, and nobody
 // reads them.
@@ -51,7 +51,7 @@
 
 class ProcessRig : public ::testing::Test {
 protected:
-    static constexpr auto kPatience = std::chrono::seconds(30);  // then the test has failed
+    static constexpr auto kTestTimeout = std::chrono::seconds(30);  // then the test has failed
 
     ProcessRig() {
         std::signal(SIGPIPE, SIG_IGN);
@@ -93,8 +93,9 @@
     }
     // Starts the gateway with a list of one reader and one writer, and waits until it listens.
     void start(const Address& read_at, const Address& write_at, const std::string& plan) {
-        start_with(told::list_text(told::instance("r1", "reader", format_address(read_at)) + "," +
-                                   told::instance("w1", "writer", format_address(write_at))),
+        start_with(platform_messages::list_text(
+                       platform_messages::instance("r1", "reader", format_address(read_at)) + "," +
+                       platform_messages::instance("w1", "writer", format_address(write_at))),
                    plan);
     }
     // With this list, which the configuration knows, too, unless `known` says otherwise.
@@ -103,7 +104,8 @@
         discovery = std::make_unique<RawServer>(
             loop, [list](RawServer::Peer& p) { p.send(kStreamHead + chunked(list + "\n")); });
         const std::string config = folder + "/config.json";
-        std::string text = told::configuration_text(format_address(discovery->address), known.value_or(list));
+        std::string text =
+            platform_messages::configuration_text(format_address(discovery->address), known.value_or(list));
         // A busy machine must not look like a server that can't be dialled.
         const std::string dial = "\"dial_timeout_ns\":250000000";
         text.replace(text.find(dial), dial.size(), "\"dial_timeout_ns\":5000000000");
@@ -120,7 +122,7 @@
     }
     // Runs the loop until it holds; false if it never does.
     bool until(const std::function<bool()>& holds) {
-        const auto end = std::chrono::steady_clock::now() + kPatience;
+        const auto end = std::chrono::steady_clock::now() + kTestTimeout;
         while (!holds()) {
             if (std::chrono::steady_clock::now() > end) return false;
             uv_run(&loop, UV_RUN_NOWAIT);
@@ -128,7 +130,7 @@
         }
         return true;
     }
-    void hang_up() { uv_process_kill(&process_, SIGHUP); }
+    void reload() { uv_process_kill(&process_, SIGHUP); }
     void terminate() { uv_process_kill(&process_, SIGTERM); }
     void kill() { uv_process_kill(&process_, SIGKILL); }
     [[nodiscard]] pid_t gateway() const { return process_.pid; }
@@ -137,7 +139,7 @@
         std::vector<std::unique_ptr<DirectClient>> all;
         for (int i = 0; i < count; ++i) {
             all.push_back(std::make_unique<DirectClient>(address));
-            all.back()->send(told::post(prefix + std::to_string(i), "chat", "", "20000m"));
+            all.back()->send(platform_messages::post(prefix + std::to_string(i), "chat", "", "20000m"));
         }
         int out_of_all = 0;
         for (auto& client : all)
--- a/tests/faults/shutdown_soak_test.cpp
+++ b/tests/faults/shutdown_soak_test.cpp
@@ -19,7 +19,7 @@
     bool resume = true;
     int clients = 0;
     int client_workload = 0;
-    double hang = 0;  // part of the servers' answers that never come
+    double no_answer_part = 0;  // part of the servers' answers that never come
     std::vector<int> signals;
     std::chrono::milliseconds run_up{};
     std::chrono::milliseconds kill_late{};  // beyond its earliest
@@ -37,7 +37,7 @@
         resume = draw() % 3 != 0;
         clients = 4 + static_cast<int>(draw() % 20);
         client_workload = draw() % 3 == 0 ? 60 : 0;
-        hang = draw() % 2 == 0 ? 0 : 0.25;
+        no_answer_part = draw() % 2 == 0 ? 0 : 0.25;
         signals = series[draw() % series.size()];
         run_up = std::chrono::milliseconds(100 + draw() % 300);
         kill_late = std::chrono::milliseconds(draw() % 2 == 0 ? 0 : draw() % 1500);
@@ -85,7 +85,7 @@
     std::chrono::milliseconds up_to(std::chrono::milliseconds most) {
         return std::chrono::milliseconds(draw_() % static_cast<unsigned>(most.count() + 1));
     }
-    bool hangs() { return std::uniform_real_distribution<>(0, 1)(draw_) < plan_.hang; }
+    bool hangs() { return std::uniform_real_distribution<>(0, 1)(draw_) < plan_.no_answer_part; }
     // What a server does later. A peer that is gone by then hears nothing.
     void later(std::chrono::milliseconds after, std::function<void()> act) {
         due_.emplace(Clock::now() + after, std::move(act));
@@ -130,23 +130,23 @@
             c.next_at = now + up_to(30ms);
         }
         if (!open) {
-            if (!c.id.empty()) note_unanswered(c, false);
+            if (!c.id.empty()) record_unanswered(c, false);
             c.id.clear();
             c.connection = nullptr;
             return;
         }
-        if (c.id.empty() && now >= c.next_at) ask(c);
+        if (c.id.empty() && now >= c.next_at) send_request(c);
     }
-    void ask(LoadClient& c) {
-        c.id = "q" + std::to_string(++asked_);
+    void send_request(LoadClient& c) {
+        c.id = "q" + std::to_string(++requests_sent_);
         c.connection->got.clear();
         // Its time grows with its prompt, beyond its class's deadline.
         const auto left = plan_.deadline + up_to(3 * plan_.deadline);
         c.sent_at = Clock::now();
-        c.connection->try_send(
-            told::post(c.id, draw_() % 2 == 0 ? "chat" : "order", "", std::to_string(left.count()) + "m"));
+        c.connection->try_send(platform_messages::post(c.id, draw_() % 2 == 0 ? "chat" : "order", "",
+                                                       std::to_string(left.count()) + "m"));
     }
-    void note_unanswered(const LoadClient& c, bool by_kill) {
+    void record_unanswered(const LoadClient& c, bool by_kill) {
         unanswered_.push_back(
             {c.id, c.sent_at, c.connection->got.find("data: ") != std::string::npos, by_kill});
     }
@@ -155,8 +155,8 @@
         while (Clock::now() < end && !exited) turn();
     }
     // Whether the rules take it for lost.
-    bool lost(const Unanswered& u, Clock::time_point told_to_end) const {
-        if (u.by_kill) return u.sent_at > told_to_end + 700ms;
+    bool lost(const Unanswered& u, Clock::time_point terminated_at) const {
+        if (u.by_kill) return u.sent_at > terminated_at + 700ms;
         if (u.started) return !plan_.resume;
         // One that crossed the end of its connection, and was not read, is sent again by its client.
         return log().find("\"request\":\"" + u.id + "\"") != std::string::npos;
@@ -168,7 +168,7 @@
     std::vector<LoadClient> clients_;
     std::vector<Unanswered> unanswered_;
     Clock::time_point connect_until_ = Clock::time_point::max();
-    int asked_ = 0;
+    int requests_sent_ = 0;
 };
 INSTANTIATE_TEST_SUITE_P(Seeds, ShutdownSoak, ::testing::Range(1U, 61U));
 
@@ -182,28 +182,28 @@
     run_for(plan_.run_up);
     ASSERT_FALSE(exited) << log();
 
-    std::optional<Clock::time_point> told_to_end;
+    std::optional<Clock::time_point> terminated_at;
     for (const int signal : plan_.signals) {
-        if (signal != SIGHUP && !told_to_end) told_to_end = Clock::now();
+        if (signal != SIGHUP && !terminated_at) terminated_at = Clock::now();
         ::kill(gateway(), signal);
         run_for(up_to(5ms));
     }
-    connect_until_ = *told_to_end + 300ms;
-    run_for(*told_to_end + plan_.kill_after() - Clock::now());
+    connect_until_ = *terminated_at + 300ms;
+    run_for(*terminated_at + plan_.kill_after() - Clock::now());
     const bool ended_by_itself = exited;
     if (!exited) kill();
     until([this] { return exited; });
     for (auto& c : clients_) {
         if (c.connection == nullptr || c.id.empty()) continue;
         c.connection->read();
-        if (!whole_answer(c.connection->got)) note_unanswered(c, !ended_by_itself);
+        if (!whole_answer(c.connection->got)) record_unanswered(c, !ended_by_itself);
     }
     int lost_requests = 0;
     for (const auto& u : unanswered_) {
-        if (!lost(u, *told_to_end)) continue;
+        if (!lost(u, *terminated_at)) continue;
         lost_requests += 1;
         ADD_FAILURE() << "lost: " << u.id << ", sent "
-                      << std::chrono::duration<double>(u.sent_at - *told_to_end).count()
+                      << std::chrono::duration<double>(u.sent_at - *terminated_at).count()
                       << " s after the signal" << (u.started ? ", its stream had begun" : "")
                       << (u.by_kill ? ", killed" : ", ended by the gateway");
     }
@@ -211,7 +211,7 @@
                                 << ", clients " << plan_.clients << ", crowd " << plan_.client_workload
                                 << "\n"
                                 << log();
-    EXPECT_GT(asked_, 0);
+    EXPECT_GT(requests_sent_, 0);
 }
 
 }  // namespace
--- a/tests/faults/shutdown_test.cpp
+++ b/tests/faults/shutdown_test.cpp
@@ -43,7 +43,7 @@
         take_writes();
         start(reader->address, writer->address, "");
         DirectClient client(address);
-        client.send(told::post("9b1f", cls, "", "20000m"));
+        client.send(platform_messages::post("9b1f", cls, "", "20000m"));
         ASSERT_TRUE(until([&] { return !writes.empty(); })) << log();
         terminate();
         ASSERT_TRUE(announced());
@@ -62,7 +62,7 @@
     take_writes();
     start(reader->address, writer->address, "");
     DirectClient client(address);
-    client.send(told::post("9b1f", "order", "", "20000m"));
+    client.send(platform_messages::post("9b1f", "order", "", "20000m"));
     ASSERT_TRUE(until([&] { return !writes.empty(); })) << log();
     writes.back()->send(net::testing::kStreamHead + chunked(net::testing::kEvent));
     bool open = true;
--- a/tests/fuzz/codecs_fuzz.cpp
+++ b/tests/fuzz/codecs_fuzz.cpp
@@ -28,9 +28,9 @@
 std::string responses(std::string_view bytes, std::size_t step) {
     http::ResponseReader reader({1000, 0});
     std::string out;
-    const auto take = [&](const std::vector<http::ResponsePiece>& pieces) {
+    const auto take = [&](const std::vector<http::ResponsePiece>& parts) {
         bool end = false;
-        for (const auto& p : pieces) {
+        for (const auto& p : parts) {
             if (const auto* h = std::get_if<http::ResponseHead>(&p))
                 out += "H" + std::to_string(h->status) + ";";
             if (const auto* b = std::get_if<http::BodyPiece>(&p)) out += b->bytes;
--- a/tests/fuzz/edge_fuzz.cpp
+++ b/tests/fuzz/edge_fuzz.cpp
@@ -34,9 +34,9 @@
     return *parsed;
 }
 
-class World {
+class ScriptedEdge {
 public:
-    explicit World(std::string_view script) : script_(script), edge_(settings()) {}
+    explicit ScriptedEdge(std::string_view script) : script_(script), edge_(settings()) {}
 
     void run() {
         while (!script_.empty()) {
@@ -171,8 +171,8 @@
                 calls_[call->call.value] = call->body.find("do_remote_decode\":true") != std::string::npos;
             } else if (const auto* abort = std::get_if<CallAbort>(&o)) {
                 calls_.erase(abort->call.value);
-            } else if (const auto* settled = std::get_if<CompleteCall>(&o)) {
-                calls_.erase(settled->call.value);
+            } else if (const auto* completed = std::get_if<CompleteCall>(&o)) {
+                calls_.erase(completed->call.value);
             } else if (const auto* reply = std::get_if<SendResponse>(&o)) {
                 must(clients_[reply->client.value] && !begun_[reply->client.value]);
                 clients_[reply->client.value] = false;
@@ -184,8 +184,8 @@
             } else if (const auto* end = std::get_if<StreamEnd>(&o)) {
                 must(clients_[end->client.value] && begun_[end->client.value]);
                 clients_[end->client.value] = false;
-            } else if (const auto* note = std::get_if<EmitRecord>(&o)) {
-                must(!std::holds_alternative<observe::GuardRecord>(note->record));
+            } else if (const auto* emitted = std::get_if<EmitRecord>(&o)) {
+                must(!std::holds_alternative<observe::GuardRecord>(emitted->record));
             }
         }
     }
@@ -201,6 +201,6 @@
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-    World({reinterpret_cast<const char*>(data), size}).run();
+    ScriptedEdge({reinterpret_cast<const char*>(data), size}).run();
     return 0;
 }
--- a/tests/fuzz/platform_fuzz.cpp
+++ b/tests/fuzz/platform_fuzz.cpp
@@ -71,8 +71,8 @@
             break;
         case 2: {
             http::RequestReader reader({4096, 4096});
-            std::string_view rest = text;
-            auto got = reader.feed(rest);
+            std::string_view remaining = text;
+            auto got = reader.feed(remaining);
             auto* request = std::get_if<http::Request>(&got);
             if (request == nullptr) break;
             const auto read = read_request(*request);
--- a/tests/fuzz/prefix_fuzz.cpp
+++ b/tests/fuzz/prefix_fuzz.cpp
@@ -24,10 +24,11 @@
     Index index(text, {4, 50, 64, 256});
     const auto a = index.add("m"), b = index.add("m");
     Feed feed(8);
-    std::string_view rest(reinterpret_cast<const char*>(data), size);
+    std::string_view remaining(reinterpret_cast<const char*>(data), size);
     // A stored snapshot: as it is, and with its checksum made good so that what is behind it is reached.
-    (void)decode_snapshot(rest, 50);
-    const std::string summed = encode_sequence(XXH3_64bits(rest.data(), rest.size())) + std::string(rest);
+    (void)decode_snapshot(remaining, 50);
+    const std::string summed =
+        encode_sequence(XXH3_64bits(remaining.data(), remaining.size())) + std::string(remaining);
     if (const auto snapshot = decode_snapshot(summed, 50)) {
         Index restored(text, {4, 50, 64, 256});
         const auto e = restored.add(snapshot->space);
@@ -37,11 +38,12 @@
         restored.remove(e);
         if (restored.blocks() != 0 || restored.nodes() != 0) std::abort();
     }
-    while (rest.size() > 2) {
-        const auto what = static_cast<unsigned char>(rest[0]);
-        const auto length = std::min<std::size_t>(static_cast<unsigned char>(rest[1]), rest.size() - 2);
-        const auto payload = rest.substr(2, length);
-        rest.remove_prefix(2 + length);
+    while (remaining.size() > 2) {
+        const auto what = static_cast<unsigned char>(remaining[0]);
+        const auto length =
+            std::min<std::size_t>(static_cast<unsigned char>(remaining[1]), remaining.size() - 2);
+        const auto payload = remaining.substr(2, length);
+        remaining.remove_prefix(2 + length);
         auto batch = decode(payload);
         if (!batch) {
             if (batch.error().empty()) std::abort();
--- a/tests/fuzz/tls_fuzz.cpp
+++ b/tests/fuzz/tls_fuzz.cpp
@@ -23,8 +23,8 @@
     if (!so) std::abort();
 }
 
-struct World {
-    World() : ca("fuzz", kNow - kDay, kNow + kDay) {
+struct TlsFixture {
+    TlsFixture() : ca("fuzz", kNow - kDay, kNow + kDay) {
         client = *Context::client({ca.certificate(), "", "", ""}, kNow);
         server = make({kName});
     }
@@ -35,18 +35,18 @@
     lab::Authority ca;
     std::shared_ptr<Context> client, server;
 };
-World& world() {
-    static World w;
+TlsFixture& fixture() {
+    static TlsFixture w;
     return w;
 }
 
 // A file of the operator's: read or refused, with a word on why.
 void files(const std::string& bytes) {
     const std::string pem = "-----BEGIN CERTIFICATE-----\n" + bytes + "\n-----END CERTIFICATE-----\n";
-    for (const auto& text : {bytes, pem, world().ca.certificate() + bytes}) {
+    for (const auto& text : {bytes, pem, fixture().ca.certificate() + bytes}) {
         const auto trust = Context::client({text, "", "", ""}, kNow);
         if (!trust) require(!trust.error().empty());
-        const auto list = Context::client({world().ca.certificate(), text, "", ""}, kNow);
+        const auto list = Context::client({fixture().ca.certificate(), text, "", ""}, kNow);
         if (!list) require(!list.error().empty());
         const auto own = Context::server({"", "", text, bytes}, kNow);
         if (!own) require(!own.error().empty());
@@ -64,10 +64,11 @@
     lower(wanted);
     if (shown == wanted) return true;
     if (!shown.starts_with("*.")) return false;
-    const std::string rest = shown.substr(1);
-    if (std::count(rest.begin(), rest.end(), '.') < 2 || rest.find('*') != std::string::npos) return false;
+    const std::string suffix = shown.substr(1);
+    if (std::count(suffix.begin(), suffix.end(), '.') < 2 || suffix.find('*') != std::string::npos)
+        return false;
     const auto dot = wanted.find('.');
-    return dot != std::string::npos && dot > 0 && wanted.substr(dot) == rest;
+    return dot != std::string::npos && dot > 0 && wanted.substr(dot) == suffix;
 }
 
 void names(const std::string& bytes) {
@@ -76,8 +77,8 @@
     for (const char c : bytes.substr(0, 24)) all += "ab.*A-"[static_cast<unsigned char>(c) % 6];
     const auto half = all.size() / 2;
     const std::string shown = all.substr(0, half) + ".ab.a", wanted = all.substr(half) + ".ab.a";
-    const auto server = world().make({shown});
-    const auto c = Filter::client(world().client, wanted, nullptr, kNow);
+    const auto server = fixture().make({shown});
+    const auto c = Filter::client(fixture().client, wanted, nullptr, kNow);
     const auto s = Filter::server(server, kNow);
     std::string to_server = c->start().to_peer;
     for (int i = 0; i < 8 && !to_server.empty(); ++i)
@@ -89,8 +90,8 @@
 
 // A server's bytes that are none, and a real talk with its bytes cut, held back, changed and dropped.
 void talk(const std::string& bytes) {
-    auto c = Filter::client(world().client, kName, nullptr, kNow);
-    auto s = Filter::server(world().server, kNow);
+    auto c = Filter::client(fixture().client, kName, nullptr, kNow);
+    auto s = Filter::server(fixture().server, kNow);
     std::string to_server, to_client, sent, got;
     bool c_over = false, s_over = false, changed = false;
     const auto of_client = [&](Step step) {
--- a/tests/http/message_test.cpp
+++ b/tests/http/message_test.cpp
@@ -18,9 +18,9 @@
     for (std::size_t at = 0; at < bytes.size() && !out.fault; at += step) {
         ahead += bytes.substr(at, step);
         for (bool more = true; more && !ahead.empty();) {
-            std::string_view rest = ahead;
-            auto progress = reader.feed(rest);
-            ahead.erase(0, ahead.size() - rest.size());
+            std::string_view remaining = ahead;
+            auto progress = reader.feed(remaining);
+            ahead.erase(0, ahead.size() - remaining.size());
             more = false;
             if (auto* r = std::get_if<Request>(&progress)) {
                 out.requests.push_back(std::move(*r));
@@ -55,7 +55,7 @@
     }
 }
 
-TEST(HttpRequest, ExpectContinueIsSaidOnce) {
+TEST(HttpRequest, ExpectContinueIsReportedOnce) {
     const auto out = read("POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\nok", 1);
     EXPECT_EQ(out.continues, 1);
     EXPECT_EQ(out.requests.at(0).body, "ok");
@@ -92,8 +92,8 @@
 Answer answer(const std::string& bytes, std::size_t step, bool close = false, Limits limits = {}) {
     Answer out;
     ResponseReader reader(limits);
-    const auto take = [&](std::vector<ResponsePiece> pieces) {
-        for (auto& p : pieces) {
+    const auto take = [&](std::vector<ResponsePiece> parts) {
+        for (auto& p : parts) {
             if (auto* h = std::get_if<ResponseHead>(&p)) out.status = h->status;
             if (auto* b = std::get_if<BodyPiece>(&p)) out.body += b->bytes;
             if (auto* e = std::get_if<ResponseEnd>(&p)) {
