--- a/apps/edge/main.cpp
+++ b/apps/edge/main.cpp
@@ -1,5 +1,5 @@
-// chalksail-edge: takes OpenAI-style chat requests and streams the answers of a fleet of prefill and decode
-// engines.
+// chalksail-edge: serves OpenAI-style chat requests and streams the responses of a fleet of prefill and
+// decode servers.
 #include <uv.h>
 
 #include <CLI/CLI.hpp>
@@ -26,8 +26,8 @@
 
 using chalksail::config::EdgeSettings;
 
-// What fails at the start for want of descriptors is tried again for a second.
-constexpr int kStartTries = 50;
+// What fails at start-up for lack of file descriptors is retried for a second.
+constexpr int kStartAttempts = 50;
 constexpr unsigned kStartPauseMs = 20;
 
 // The settings, or nothing after the problems have been written to standard error.
@@ -73,14 +73,16 @@
     return 0;
 }
 
-// Caught from before the listener opens, so that no signal ends the program with requests taken. One that
-// comes before the loop runs is handled by its first turn.
+// SIGTERM and SIGINT start a graceful shutdown, SIGHUP a reload. Signals are caught from before the listener
+// opens, so that none ends the program while it has accepted requests. One that arrives before the loop runs
+// is handled in its first iteration.
 class Signals {
 public:
-    // Reads the settings again; its error says why they were not taken.
+    // Reads the configuration again; the error says why it was not applied.
     using Reload = std::function<tl::expected<void, std::string>()>;
 
     explicit Signals(chalksail::observe::Log& log) : log_(log) {}
+    // Which server and reload the signals are for; call it before the loop runs.
     void serve(chalksail::net::EdgeServer& server, Reload reload) {
         server_ = &server;
         reload_ = std::move(reload);
@@ -104,8 +106,8 @@
     }
 
 private:
-    static constexpr chalksail::Duration kRetryLeast = std::chrono::milliseconds(10);
-    static constexpr chalksail::Duration kRetryMost = std::chrono::milliseconds(100);
+    static constexpr chalksail::Duration kRetryPauseMin = std::chrono::milliseconds(10);
+    static constexpr chalksail::Duration kRetryPauseMax = std::chrono::milliseconds(100);
     // A new configuration is in force some seconds after its signal: by then it has been read, or is bad.
     static constexpr chalksail::Duration kRetryTimeout = std::chrono::seconds(3);
 
@@ -115,10 +117,10 @@
         logged_error_.clear();
         try_reload();
     }
-    // Guards against a reload that is given up for a file that is just being replaced or written, or for a
-    // moment without a descriptor.
+    // Guards against giving up a reload because the file is being replaced or written at that moment, or no
+    // file descriptor is free.
     void try_reload() {
-        // The server may have ended in this turn, and what a reload would reach with it.
+        // The server may have ended in this iteration; what a reload would change no longer exists then.
         if (server_->finished()) return;
         const auto reloaded = reload_();
         if (reloaded) return;
@@ -136,27 +138,28 @@
     std::optional<chalksail::net::SignalHandle> interrupt_;
     std::optional<chalksail::net::SignalHandle> reload_signal_;
     std::optional<chalksail::net::Timer> retry_timer_;
-    chalksail::Backoff backoff_{kRetryLeast, kRetryMost};
+    chalksail::Backoff backoff_{kRetryPauseMin, kRetryPauseMax};
     chalksail::Time retry_until_{};
     std::string logged_error_;  // of this reload, the last one logged
 };
 
-// Serves until a signal ends it. `list` and `reload` may need the loop, and come of it.
+// Where the endpoint list and a new configuration come from. Both may need the loop.
 struct Origin {
     std::unique_ptr<chalksail::membership::EndpointSource> list;
     Signals::Reload reload;
 };
-// Guards against a gateway that does not come up as its machine is short of descriptors at that moment. An
-// error of libuv's, or 0.
+// Guards against a gateway that does not start because its machine is short of file descriptors at that
+// moment. Returns 0 or an error of libuv's.
 int open_loop(uv_loop_t& loop) {
     int error = 0;
-    for (int tries = 0; tries < kStartTries; ++tries) {
+    for (int attempts = 0; attempts < kStartAttempts; ++attempts) {
         error = uv_loop_init(&loop);
         if (error == 0) return 0;
         uv_sleep(kStartPauseMs);
     }
     return error;
 }
+// Serves until a signal ends it.
 int serve(const EdgeSettings& settings,
           const std::function<Origin(uv_loop_t&, chalksail::observe::Log&)>& origin_of) {
     std::signal(SIGPIPE, SIG_IGN);
@@ -202,6 +205,7 @@
 
 // ---- the users' platform ----
 
+// An environment variable; empty if it is not set.
 std::string variable(const char* name) {
     const char* const value = std::getenv(name);
     return value == nullptr ? std::string() : std::string(value);
@@ -209,7 +213,7 @@
 
 constexpr std::string_view kUnreadable = "can't be read";
 
-// At a reload the file alone counts: the variables are those of the start.
+// A reload reads the file alone: the variables override only at the start.
 tl::expected<chalksail::platform::Configuration, std::string> read_configuration(
     const std::string& file, const chalksail::platform::Environment& environment) {
     std::ifstream in(file, std::ios::binary);
@@ -234,8 +238,8 @@
     const chalksail::platform::Environment environment{variable("EDGE_NAME"), variable("EDGE_LISTEN"),
                                                        variable("EDGE_DISCOVERY")};
     auto configuration = read_configuration(file, environment);
-    // The same for a file that can't be opened at that moment.
-    for (int tries = 0; !configuration && configuration.error() == kUnreadable && tries < kStartTries;
+    // The same retries for a file that can't be opened at that moment.
+    for (int tries = 0; !configuration && configuration.error() == kUnreadable && tries < kStartAttempts;
          ++tries) {
         uv_sleep(kStartPauseMs);
         configuration = read_configuration(file, environment);
--- a/apps/edge/tls_probe.cpp
+++ b/apps/edge/tls_probe.cpp
@@ -17,9 +17,10 @@
 using namespace chalksail;
 using namespace chalksail::net;
 
-constexpr int kWaitMs = 3000;    // for each answer of the server
-constexpr int kTicketsMs = 300;  // for tickets, which come after the handshake
+constexpr int kResponseTimeoutMs = 3000;  // for each message of the server
+constexpr int kTicketTimeoutMs = 300;     // for session tickets, which come after the handshake
 
+// A connected socket; -1 if there is none.
 int dial(const Address& address) {
     const bool six = address.host.find(':') != std::string::npos;
     const int fd = socket(six ? AF_INET6 : AF_INET, SOCK_STREAM, 0);
@@ -38,7 +39,7 @@
     return -1;
 }
 
-// One handshake, and what follows it at once. Says on standard output what was seen.
+// One handshake, and the tickets that follow it. Prints a failure on standard output.
 bool handshake(int fd, tls::Filter& filter) {
     auto step = filter.start();
     for (;;) {
@@ -54,7 +55,7 @@
         }
         if (step.ended) return filter.connected();
         pollfd ready{fd, POLLIN, 0};
-        if (poll(&ready, 1, filter.connected() ? kTicketsMs : kWaitMs) <= 0) {
+        if (poll(&ready, 1, filter.connected() ? kTicketTimeoutMs : kResponseTimeoutMs) <= 0) {
             if (!filter.connected()) std::cout << "result: no answer in time\n";
             return filter.connected();
         }
--- a/lab/model/exchange.hpp
+++ b/lab/model/exchange.hpp
@@ -1,5 +1,5 @@
-// The words of a stand-in engine: what it reads out of a request, and the bytes that it answers with. Shared
-// by the engines on sockets and those in virtual time. No I/O, no state.
+// The protocol of a simulated engine: parses requests and formats responses. Shared by the engines on sockets
+// and those in virtual time. No I/O, no threads, no state.
 #pragma once
 
 #include <optional>
@@ -12,8 +12,9 @@
 
 namespace chalksail::lab {
 
-struct Asked {
-    std::string request;  // the gateway's number for it
+// A chat request as an engine receives it.
+struct EngineRequest {
+    std::string request;  // the gateway's id for it
     std::string client_request;
     std::string gateway;
     std::int64_t attempt = 0;
@@ -26,24 +27,25 @@
     std::uint64_t key = 0;
     double prompt_tokens = 0;
     std::size_t output = 0;
-    std::vector<PrefixBlock> blocks;  // of what is to be read here
-    std::string text;                 // of which they are
+    std::vector<PrefixBlock> blocks;  // of the prompt, if it is prefilled here
+    std::string text;                 // the text of these
 };
-// Nothing if the body is no chat request.
-[[nodiscard]] std::optional<Asked> read_request(const http::Headers& headers, std::string_view body);
-[[nodiscard]] Job job_of(const Asked& asked, JobId id);
+// Nullopt if the body is no chat request.
+[[nodiscard]] std::optional<EngineRequest> read_request(const http::Headers& headers, std::string_view body);
+// The job that it is for the engine model.
+[[nodiscard]] Job job_of(const EngineRequest& engine_request, JobId id);
 
 struct EngineAddress {
     std::string name;
     std::string host;
     int port = 0;
 };
-[[nodiscard]] std::string prefill_answer(const Asked& asked, JobId job, double kept,
+[[nodiscard]] std::string prefill_answer(const EngineRequest& engine_request, JobId job, double cached_tokens,
                                          const EngineAddress& engine);
 // Chunks of the stream, as JSON: the opening one, the i-th token, and the one with the usage.
-[[nodiscard]] std::string opening_chunk(const Asked& asked);
-[[nodiscard]] std::string token_chunk(const Asked& asked, std::size_t i);
-[[nodiscard]] std::string usage_chunk(const Asked& asked);
-[[nodiscard]] std::string whole_answer(const Asked& asked);
+[[nodiscard]] std::string opening_chunk(const EngineRequest& engine_request);
+[[nodiscard]] std::string token_chunk(const EngineRequest& engine_request, std::size_t i);
+[[nodiscard]] std::string usage_chunk(const EngineRequest& engine_request);
+[[nodiscard]] std::string whole_answer(const EngineRequest& engine_request);
 
 }  // namespace chalksail::lab
--- a/lab/sockets/engine_host.hpp
+++ b/lab/sockets/engine_host.hpp
@@ -1,6 +1,6 @@
-// Stand-in engines on sockets: each an EngineModel behind an HTTP server on a port of its own, speaking the
-// convention of src/engine/protocol.hpp. They record what crosses their sockets. One libuv loop, one thread;
-// tick() moves time.
+// Simulated engines on sockets: each an EngineModel behind an HTTP server on a port of its own, with the
+// protocol of src/engine/protocol.hpp. They record what crosses their sockets. One libuv loop, one thread;
+// tick() advances the models.
 #pragma once
 
 #include <uv.h>
@@ -25,6 +25,7 @@
 
 class EngineFleet;
 
+// One engine.
 class EngineHost : net::HttpServer::Handler {
 public:
     EngineHost(uv_loop_t& loop, EngineFleet& fleet, EngineSpec spec);
@@ -32,14 +33,14 @@
 
     void start();            // listens; the port stays the same over restarts
     void crash();            // resets all connections and stops listening
-    void restart(Time now);  // comes back cold
-    void vanish(bool on);    // hears and sees all, and says nothing
+    void restart(Time now);  // a new process, in slow start
+    void vanish(bool on);    // receives everything, and answers nothing
     void tick(Time now);
     [[nodiscard]] EngineModel& model() { return model_; }
     [[nodiscard]] const EngineSpec& spec() const { return model_.spec(); }
     [[nodiscard]] const Address& address() const { return address_; }
     [[nodiscard]] const Address& tls_address() const { return tls_address_; }
-    // New connections from now on are shown this; only where the fleet speaks TLS.
+    // The certificate of new connections from now on; only where the fleet uses TLS.
     void show(std::shared_ptr<net::tls::Context> context);
     [[nodiscard]] const CachePublisher* caches() const {
         return caches_.get();
@@ -50,19 +51,19 @@
     struct Exchange {
         net::HttpServer::Peer peer = 0;
         JobId job = 0;
-        Asked asked;
+        EngineRequest engine_request;
     };
     void on_request(net::HttpServer::Peer peer, http::Request request) override;
     void on_closed(net::HttpServer::Peer peer, const net::ConnectionEnd&) override;
     void chat(net::HttpServer::Peer peer, const http::Request& request);
     void release(net::HttpServer::Peer peer, const http::Request& request);
-    void answer_read(Exchange& e, double kept);
+    void answer_read(Exchange& e, double cached_tokens);
     void write_tokens(Exchange& e, std::size_t first, std::size_t count);
     void end_stream(Exchange& e);
     void error(net::HttpServer::Peer peer, int status, const std::string& text,
                const std::string& not_run = "");
-    void note(What what, const Asked& asked, const std::string& fate);
-    void note_state(What what, const std::string& edge_request);
+    void record_attempt(RecordKind what, const EngineRequest& engine_request, const std::string& termination);
+    void record_state(RecordKind what, const std::string& edge_request);
     void add_load(http::Headers& headers) const;
     void flush();
 
@@ -78,6 +79,7 @@
     std::map<JobId, net::HttpServer::Peer> by_job_;
 };
 
+// All engines of a run, and what they share.
 class EngineFleet {
 public:
     EngineFleet(uv_loop_t& loop, const std::vector<EngineSpec>& specs, Links::Rates rates, std::uint64_t seed,
@@ -93,11 +95,11 @@
     // For losses alone, so that they leave the other draws as they are.
     [[nodiscard]] double draw_loss() { return std::generate_canonical<double, 53>(losses_); }
     [[nodiscard]] JobId next_job() { return ++last_job_; }
-    // Has this gateway been told that this engine has started?
-    std::set<std::pair<std::string, std::string>> told_cold;
-    // An engine fell over.
-    std::function<void(EngineHost&)> on_fall;
-    // Request numbers of clients by those of gateways, for let-go calls and states.
+    // Gateway and engine: this gateway knows that this engine has restarted.
+    std::set<std::pair<std::string, std::string>> start_known;
+    // Called when an engine has failed of overload.
+    std::function<void(EngineHost&)> on_overload;
+    // Clients' request ids by those of gateways, for releases and KV states.
     std::map<std::string, std::string> client_number;
 
 private:
--- a/lab/sockets/load.hpp
+++ b/lab/sockets/load.hpp
@@ -1,4 +1,5 @@
-// The load tool: a scenario's clients on real sockets. Records what crossed them. One libuv loop, one thread.
+// The load generator: a scenario's clients on real sockets. Records what crossed them. One libuv loop, one
+// thread.
 #pragma once
 
 #include <uv.h>
@@ -16,6 +17,7 @@
 
 namespace chalksail::lab {
 
+// All clients of a run.
 class Load : net::UpstreamPool::Handler {
 public:
     Load(uv_loop_t& loop, const Scenario& scenario, Recorder& recorder);
@@ -27,11 +29,11 @@
     }
     void begin(Time now) { client_workload_.begin(now); }
     void tick(Time now);
-    // No new requests from now on; those in hand go on.
+    // No new requests from now on; those in flight continue.
     void stop() { client_workload_.stop(); }
     [[nodiscard]] std::size_t in_hand() const { return calls_.size(); }
-    // Hangs up all that is still in hand.
-    void hang_up_all(Time now);
+    // Disconnects all requests that are still in flight.
+    void disconnect_all(Time now);
     [[nodiscard]] ClientWorkload& client_workload() { return client_workload_; }
 
     struct Figures {
@@ -42,7 +44,7 @@
 
 private:
     struct Pending {
-        ClientCall ask;
+        ClientCall client_call;
         std::string gateway;
         Transcript got;
     };
@@ -51,9 +53,9 @@
     void on_done(net::UpstreamPool::Call call) override;
     void on_failed(net::UpstreamPool::Call call, engine::Ending ending, std::string detail) override;
 
-    void start(ClientCall ask);
+    void start(ClientCall client_call);
     void end(net::UpstreamPool::Call call, const Transcript::End& end);
-    void hang_up(net::UpstreamPool::Call call, Time now);
+    void disconnect(net::UpstreamPool::Call call, Time now);
 
     Recorder& recorder_;
     net::UpstreamPool pool_;
