--- a/include/chalksail/chalksail.hpp
+++ b/include/chalksail/chalksail.hpp
@@ -39,7 +39,8 @@
 template <class Tag, class Value>
 struct Strong {
     Value value{};
-    friend auto operator<=>(const Strong&, const Strong&) = default;
+    // The linter takes the comparison that the compiler writes for a null pointer.
+    friend auto operator<=>(const Strong&, const Strong&) = default;  // NOLINT(modernize-use-nullptr)
 };
 using RequestId = Strong<struct RequestTag, std::uint64_t>;
 using AttemptId = Strong<struct AttemptTag, std::int64_t>;  // numbered from 0 within a request
--- a/src/policy/fleet_topology.cpp
+++ b/src/policy/fleet_topology.cpp
@@ -68,7 +68,8 @@
     const double all = fleet_.prefill_servers();
     const double local = zone == zones_.end() ? 0 : zone->second.prefill_servers();
     if (local <= 0 || local >= all) return 1;
-    const double share = std::min(kMostLocal, zones_.size() * local / all);
+    const auto zones = static_cast<double>(zones_.size());
+    const double share = std::min(kMostLocal, zones * local / all);
     return share / (1 - share) * (all - local) / local;
 }
 
--- a/src/policy/prefill_selection.cpp
+++ b/src/policy/prefill_selection.cpp
@@ -57,14 +57,14 @@
     const Duration wait = from_seconds(kWaitForCachedText * seconds(request.objective - request.arrived_at));
     if (now >= request.arrived_at + wait) return false;
     const double cached_there = PromptCache::reported_tokens(selected.endpoint.id, request);
-    const auto worth_waiting_for = [&](const CachedPrefix& report) {
+    const auto has_much_more = [&](const CachedPrefix& report) {
         const Server* server = endpoints_.find(report.server);
         return server != nullptr && server->cache.reported() && candidates.usable(*server, request) &&
                score(*server, request) >= score(selected, request) &&
                report.tokens - cached_there > kMuchCachedText * request.arrival.prompt_tokens;
     };
     const auto& reports = request.arrival.cached_prefixes;
-    return std::any_of(reports.begin(), reports.end(), worth_waiting_for);
+    return std::any_of(reports.begin(), reports.end(), has_much_more);
 }
 
 double PrefillSelection::score(const Server& server, const Request& request) const {
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -9,6 +9,7 @@
 #include <utility>
 
 #include "admission.hpp"
+#include "attempt_recorder.hpp"
 #include "candidate_set.hpp"
 #include "concurrency_limit.hpp"
 #include "decode_capacity.hpp"
@@ -50,6 +51,7 @@
           limits_(settings_),
           outliers_(settings_),
           admission_(settings_, seed_, requests_, latencies_, retry_policy_),
+          recorder_(requests_, admission_, limits_, latencies_, outliers_, slow_start_),
           candidates_(settings_, requests_, endpoints_, slow_start_, outliers_, retry_policy_),
           decode_capacity_(requests_, endpoints_, limits_),
           prefill_selection_(endpoints_, latencies_),
@@ -102,16 +104,8 @@
     void send(Request& request, Server& server, Stage stage);
     [[nodiscard]] Attempt make_attempt(const Request& request, const Server& server, Stage stage) const;
 
-    // The end of an attempt.
-    void record_outcome(Server& server, const Request& request, const Attempt& attempt,
-                        const AttemptEnded& event);
-    void record_served(Server& server, const Request& request, const Attempt& attempt);
-    void record_unanswered(Server& server, const Request& request, const Attempt& attempt,
-                           const AttemptEnded& event);
-    void record_load_report(Server& server, const std::vector<double>& report);
-    void continue_after_failure(Request& request, const AttemptEnded& event);
-
     // The end of a request, and of the KV state that it holds.
+    void continue_after_failure(Request& request, const AttemptEnded& event);
     void give_up(Request& request);
     void cancel(Request& request);
     void forget(Request& request);
@@ -139,6 +133,7 @@
     policy::ConcurrencyLimit limits_;
     policy::OutlierDetection outliers_;
     policy::Admission admission_;
+    policy::AttemptRecorder recorder_;
     policy::CandidateSet candidates_;
     policy::DecodeCapacity decode_capacity_;
     policy::PrefillSelection prefill_selection_;
@@ -282,14 +277,15 @@
 }
 
 void Router::Impl::on(const AttemptEnded& event) {
+    const policy::StepContext context = this->context();
     Server* server = endpoints_.find(event.server);
-    if (server != nullptr) record_load_report(*server, event.load_report);
+    if (server != nullptr) recorder_.record_load_report(*server, event.load_report, context);
     Request* request = requests_.find_in_flight(event.id, event.attempt);
     if (request == nullptr) return;
     const Attempt attempt = *std::exchange(request->attempt, std::nullopt);
     if (policy::proves_arrival(event.outcome)) request->state_unclaimed_since = now_;
     if (std::exchange(request->state_released, false)) drop_state(*request);
-    if (server != nullptr) record_outcome(*server, *request, attempt, event);
+    if (server != nullptr) recorder_.record_end(*server, *request, attempt, event, context);
     const bool may_have_run = attempt.stage == Stage::decode && policy::may_have_arrived(event.outcome) &&
                               event.outcome != AttemptOutcome::at_capacity;
     if (may_have_run && !request->history.ran_at && server != nullptr) {
@@ -341,7 +337,8 @@
 void Router::Impl::on(const HealthCheckEnded& event) {
     Server* server = endpoints_.find(event.server);
     if (server == nullptr) return;
-    if (event.outcome == AttemptOutcome::ok) record_load_report(*server, event.load_report);
+    if (event.outcome == AttemptOutcome::ok)
+        recorder_.record_load_report(*server, event.load_report, context());
     outliers_.record_health_check(server->health, event, now_);
 }
 
@@ -389,18 +386,7 @@
                                  ? Duration::zero()
                                  : std::min(attempt.timeout, request.deadline - now_);
     request.history.sends += 1;
-    server.references += 1;
-    if (stage == Stage::prefill) {
-        server.queued_prefill_tokens += attempt.uncached_tokens;
-        server.cache.record_prefill(request, now_);
-    } else {
-        limits_.record_sent(server.limit, request.tokens());
-    }
-    const double work = requests_.mean_work(request.class_index);
-    if (slow_start_.is_warming_up(server.endpoint.started_at, now_))
-        policy::SlowStart::record_sent_to_warming(server.warm_up, work, now_);
-    else slow_start_.record_sent_to_warm(server.role, work, now_);
-    outliers_.record_sent(server.health, now_);
+    recorder_.record_sent(server, request, attempt);
     decode_capacity_.record_sent(request, stage);
     request.attempt = attempt;
     actions_.emplace_back(Send{request.arrival.id, server.endpoint.id, timeout});
@@ -424,62 +410,7 @@
     return attempt;
 }
 
-// ---- the end of an attempt ----
-
-void Router::Impl::record_outcome(Server& server, const Request& request, const Attempt& attempt,
-                                  const AttemptEnded& event) {
-    const ServerId& id = server.endpoint.id;
-    server.references -= 1;
-    if (attempt.stage == Stage::prefill) server.queued_prefill_tokens -= attempt.uncached_tokens;
-    else limits_.record_ended(server.limit, request.tokens());
-    if (policy::proves_arrival(event.outcome)) policy::OutlierDetection::record_answer(server.health, now_);
-    const bool not_run =
-        event.outcome == AttemptOutcome::at_capacity || event.outcome == AttemptOutcome::connect_failed;
-    if (not_run && !slow_start_.is_warming_up(server.endpoint.started_at, now_))
-        slow_start_.take_back(server.role, requests_.mean_work(request.class_index));
-    switch (event.outcome) {
-        case AttemptOutcome::ok: record_served(server, request, attempt); break;
-        case AttemptOutcome::prefilled:
-            outliers_.record_success(id, server.health);
-            latencies_.record_prefill(server.latency, attempt, event.elapsed);
-            admission_.record_prefill(request, event.elapsed);
-            break;
-        case AttemptOutcome::at_capacity:
-            if (!event.kv_state_missing && attempt.stage == Stage::decode)
-                limits_.record_at_capacity(server.limit, attempt.sent_at, context());
-            break;
-        case AttemptOutcome::error: outliers_.record_error(id, server.health, now_); break;
-        case AttemptOutcome::cancelled:
-        case AttemptOutcome::timeout: record_unanswered(server, request, attempt, event); break;
-        case AttemptOutcome::connect_failed:
-            // For a client that has left the connect was abandoned: that says nothing of the server.
-            if (!request.answered) outliers_.eject(id, server.health, now_);
-            break;
-        case AttemptOutcome::reset: outliers_.eject(id, server.health, now_); break;
-        case AttemptOutcome::not_sent: break;
-    }
-}
-
-void Router::Impl::record_served(Server& server, const Request& request, const Attempt& attempt) {
-    outliers_.record_success(server.endpoint.id, server.health);
-    limits_.record_success(server.limit, request.tokens(), context());
-    if (attempt.stream_started)
-        latencies_.record_stream(server.latency, request.class_index, now_ - attempt.stream_started_at);
-}
-
-void Router::Impl::record_unanswered(Server& server, const Request& request, const Attempt& attempt,
-                                     const AttemptEnded& event) {
-    const bool timed_out = event.outcome == AttemptOutcome::timeout;
-    if (attempt.stream_started || (!timed_out && !attempt.cancelled)) return;
-    if (attempt.stage == Stage::prefill) admission_.record_prefill(request, event.elapsed);
-    latencies_.record_unanswered(attempt, event.elapsed);
-    const bool silent_since = server.health.last_answer() <= attempt.sent_at;
-    if (timed_out && silent_since) outliers_.eject(server.endpoint.id, server.health, now_);
-}
-
-void Router::Impl::record_load_report(Server& server, const std::vector<double>& report) {
-    if (server.role != Role::prefill) limits_.record_report(server.limit, report, context());
-}
+// ---- the end of a request, and of the KV state that it holds ----
 
 void Router::Impl::continue_after_failure(Request& request, const AttemptEnded& event) {
     request.history.failed_at.insert(event.server);
@@ -491,8 +422,6 @@
         give_up(request);
 }
 
-// ---- the end of a request, and of the KV state that it holds ----
-
 void Router::Impl::give_up(Request& request) {
     const RequestId id = request.arrival.id;
     if (policy::RetryPolicy::may_reject(*request.class_settings, request.history) && now_ < request.deadline)
--- a/src/policy/statistics.hpp
+++ b/src/policy/statistics.hpp
@@ -15,7 +15,7 @@
 }
 
 // FNV-1a with a finaliser, as a number between 0 and 1, ends excluded. Every gateway gets the same number for
-// the same text, so that rendezvous hashing agrees without a word between them.
+// the same text, so that rendezvous hashing agrees without coordination.
 inline double hash_to_unit_interval(const std::string& first, const std::string& second) {
     std::uint64_t hash = 1469598103934665603ULL;
     for (const std::string* text : {&first, &second})
