--- a/src/base/units.hpp
+++ b/src/base/units.hpp
@@ -21,7 +21,8 @@
 struct Address {
     std::string host;  // IPv4 or IPv6 literal, no brackets
     std::uint16_t port = 0;
-    friend auto operator<=>(const Address&, const Address&) = default;
+    // The linter takes the comparison that the compiler writes for a null pointer.
+    friend auto operator<=>(const Address&, const Address&) = default;  // NOLINT(modernize-use-nullptr)
 };
 // "127.0.0.1:80", "[::1]:80"; nullopt for host names or other text.
 [[nodiscard]] std::optional<Address> parse_address(std::string_view text);
