--- a/tests/policy/counted_fleet_test.cpp
+++ b/tests/policy/counted_fleet_test.cpp
@@ -1,4 +1,4 @@
-// What the module counts or finds once for the whole fleet holds after each change of it, and within a step.
+// What the router counts or finds once for the whole fleet holds after each change of it, and within a step.
 #include <algorithm>
 #include <set>
 
@@ -8,12 +8,12 @@
 namespace chalksail::testing {
 namespace {
 
-Endpoint cold_server(const Gateway& g, const std::string& id, const std::string& kind) {
+Endpoint warming_server(const Gateway& g, const std::string& id, const std::string& kind) {
     auto out = server(id, kind);
     out.started_at = g.now - 1s;
     return out;
 }
-// Serves requests at warm servers, so that work is known to be borne.
+// Serves requests at warm servers, so that work is known to be within capacity.
 void serve_many(Gateway& g, std::uint64_t first, int count) {
     for (std::uint64_t id = first; id < first + static_cast<std::uint64_t>(count); ++id) {
         g.pass(20ms);
@@ -26,21 +26,22 @@
     }
 }
 
-// What the first request of a step takes of a cold server's budget is gone for the second.
-TEST(CountedFleet, TwoRequestsOfOneStepDoNotShareAColdServersBudget) {
+// What the first request of a step takes of a warming server's budget is gone for the second.
+TEST(CountedFleet, TwoRequestsOfOneStepDoNotShareAWarmingServersBudget) {
     Gateway g;
-    g.list({cold_server(g, "r", "reader"), server("w", "writer")});
+    g.list({warming_server(g, "r", "reader"), server("w", "writer")});
     g.step({Gateway::request(1), Gateway::request(2)});
     EXPECT_EQ(g.sent_to(), "r");
 }
 
-// A cold server's budget follows the warm ones: with none left that bears anything, it had its one request.
-TEST(CountedFleet, ColdBudgetEndsWithTheWarmServersThatItComesFrom) {
+// A warming server's budget follows the warm ones: with none left that bears anything, it had its one
+// request.
+TEST(CountedFleet, SlowStartBudgetEndsWithTheWarmServersThatItComesFrom) {
     Gateway g;
     auto warm = server("warm", "reader");
     g.list({warm, server("w", "writer")});
     serve_many(g, 1, 100);
-    g.list({cold_server(g, "cold", "reader")}, EndpointUpdateKind::delta);
+    g.list({warming_server(g, "cold", "reader")}, EndpointUpdateKind::delta);
     const auto arrive_alone = [&](std::uint64_t id) {
         auto request = Gateway::request(id);
         request.prefix.clear();  // ties go by session
@@ -55,8 +56,8 @@
     for (int i = 0; i < 20; ++i) EXPECT_EQ(arrive_alone(++id), "");
 }
 
-// Once no writer is in service by the list, what is past its aim is answered.
-TEST(CountedFleet, WritersAreCountedAnewBehindAList) {
+// Once no decode server is in service by the list, what is past its objective is answered.
+TEST(CountedFleet, DecodeServersAreCountedAgainAfterAnUpdate) {
     Gateway g;
     auto writer = server("w", "writer");
     g.list({server("r", "reader"), writer});
@@ -67,13 +68,13 @@
     g.list({reader}, EndpointUpdateKind::delta);
     g.arrive(1);
     EXPECT_TRUE(g.all<Reject>().empty());
-    g.pass(1001ms);  // its aim
+    g.pass(1001ms);  // its objective
     g.step();
     EXPECT_EQ(g.all<Reject>().size(), 1U);
 }
 
-// The readers that keep a prefix are those of the list in force.
-TEST(CountedFleet, PrefixIsReadAtTheReadersOfTheNewList) {
+// The prefill servers that keep a prefix are those of the list in force.
+TEST(CountedFleet, PrefixIsPrefilledAtTheServersOfTheNewList) {
     auto settings = plain_settings();
     settings.gateways = 100;
     Gateway g(settings);
@@ -95,7 +96,7 @@
         g.step({request});
         return g.sent_to();
     };
-    // Two copies each time: of 20 readers for one arrival, of the last 10 for two.
+    // Two copies each time: of 20 prefill servers for one arrival, of the last 10 for two.
     EXPECT_TRUE((std::set<std::string>{readers[0].id.value, readers[1].id.value}).contains(read_at(201)));
     for (int i = 0; i < 10; ++i) listed[static_cast<std::size_t>(i)].state = EndpointState::removed;
     g.list({listed.begin(), listed.begin() + 10}, EndpointUpdateKind::delta);
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -39,13 +39,13 @@
     return {reader, writer};
 }
 
-TEST(Fleet, ColdServerIsNotSentOneRequestByEveryGateway) {
+TEST(Fleet, WarmingServerDoesNotGetOneRequestFromEveryGateway) {
     int sent = 0;
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
         Gateway g(one_of_many(), seed);
-        auto cold = server("r", "reader");
-        cold.started_at = g.now - 1s;
-        g.list({cold, server("w", "writer")});
+        auto warming = server("r", "reader");
+        warming.started_at = g.now - 1s;
+        g.list({warming, server("w", "writer")});
         g.pass(2s);
         g.arrive(1);
         sent += g.sent_to().empty() ? 0 : 1;
@@ -53,9 +53,10 @@
     EXPECT_LE(sent, 8);
 }
 
-// Rule 4 over the whole fleet: what each gateway sends a cold server alone adds up. `rate`: requests a second
-// over all gateways; at 10 a second each of 300 gateways is due far less than one request in the window.
-struct ColdFleet : ::testing::TestWithParam<std::pair<int, double>> {
+// Rule 4 over the whole fleet: what each gateway sends a warming server alone adds up. `rate`: requests a
+// second over all gateways; at 10 a second each of 300 gateways is due far less than one request in the
+// window.
+struct WarmingFleet : ::testing::TestWithParam<std::pair<int, double>> {
     static constexpr Duration kStep = 4ms;
     struct Due {
         std::size_t gateway;
@@ -110,7 +111,7 @@
     }
     static RequestArrived request_of(std::uint64_t id) {
         RequestArrived out = Gateway::request(id);
-        out.prefix.clear();  // any reader is as good
+        out.prefix.clear();  // any prefill server is as good
         return out;
     }
     static double unit_draw(std::uint64_t i) {
@@ -129,7 +130,7 @@
     std::uint64_t requests = 0;
 };
 
-TEST_P(ColdFleet, StaysWithinWhatAStartedServerBears) {
+TEST_P(WarmingFleet, StaysWithinTheCapacityOfAStartedServer) {
     const auto [count, rate] = GetParam();
     auto settings = plain_settings();
     settings.gateways = count;
@@ -143,22 +144,24 @@
     for (std::size_t i = 0; i < gateways.size(); ++i)
         give(i, {EndpointUpdate{EndpointUpdateKind::delta, {reader, writer}}});
     play(6s, 1.5 * rate);
-    const double bears = settings.slow_start_overload_factor * settings.slow_start_initial_capacity * rate /
-                         4 * std::chrono::duration<double>(settings.slow_start_overload_window).count();
-    for (const auto* cold : {"r-cold", "w-cold"}) {
-        const double most = most_in(cold, settings.slow_start_overload_window);
-        EXPECT_LE(most, bears + 2 * std::sqrt(bears) + 2) << cold;
-        if (bears > 10) {  // else getting none is within the bound
-            EXPECT_GT(most, 0) << cold;
+    const double capacity = settings.slow_start_overload_factor * settings.slow_start_initial_capacity *
+                            rate / 4 *
+                            std::chrono::duration<double>(settings.slow_start_overload_window).count();
+    for (const auto* warming : {"r-cold", "w-cold"}) {
+        const double most = most_in(warming, settings.slow_start_overload_window);
+        EXPECT_LE(most, capacity + 2 * std::sqrt(capacity) + 2) << warming;
+        if (capacity > 10) {  // else getting none is within the bound
+            EXPECT_GT(most, 0) << warming;
         }
     }
 }
-INSTANTIATE_TEST_SUITE_P(Sizes, ColdFleet,
+INSTANTIATE_TEST_SUITE_P(Sizes, WarmingFleet,
                          ::testing::Values(std::pair{1, 200.0}, std::pair{5, 200.0}, std::pair{25, 200.0},
                                            std::pair{300, 200.0}, std::pair{300, 10.0}, std::pair{25, 3.0}));
 
-// The room of all writers is counted once a step, and what is sent in that step takes its part of it.
-TEST(Fleet, ACrowdInOneStepGetsTheRoomThereIs) {
+// The capacity of all decode servers is counted once a step, and what is sent in that step takes its part of
+// it.
+TEST(Fleet, ManyRequestsInOneStepGetTheCapacityThereIs) {
     const auto sent = [](bool one_step) {
         Gateway g(one_of_many());
         g.list(fleet(8, 8));
@@ -178,7 +181,7 @@
     EXPECT_LT(sent(true), 20U);  // 1.5 of a hundredth of 800,000 tokens, in requests of 1,200
 }
 
-TEST(Fleet, AHotPrefixIsReadAtSeveralReaders) {
+TEST(Fleet, APopularPrefixIsPrefilledAtSeveralServers) {
     Gateway g(one_of_many());
     g.list(fleet(8, 4));
     std::set<std::string> readers;
@@ -186,8 +189,9 @@
     EXPECT_GE(readers.size(), 5U);
 }
 
-// A few very long prompts switched gateways that see enough to the ways of those that see little.
-TEST(Fleet, WhetherItSeesLittleFollowsTheUsualSizeNotAFewLongPrompts) {
+// A few very long prompts switched gateways that see enough to the ways of those that have sparse
+// observations.
+TEST(Fleet, SparseObservationsFollowTheUsualSizeNotAFewLongPrompts) {
     auto settings = plain_settings();
     settings.gateways = 8;
     Gateway g(settings);
@@ -205,20 +209,20 @@
         return readers.size();
     };
     EXPECT_EQ(readers_of_usual_ones(1000, 60'000), 1U);  // by prefix: sees enough
-    EXPECT_GE(readers_of_usual_ones(8000, 8000), 4U);    // by session: sees little
+    EXPECT_GE(readers_of_usual_ones(8000, 8000), 4U);    // by session: has sparse observations
     EXPECT_EQ(readers_of_usual_ones(1000, 1000), 1U);    // and back
 }
 
-TEST(Fleet, AZoneWithFewReadersSharesItsReads) {
+TEST(Fleet, AZoneWithFewPrefillServersSharesItsPrefills) {
     Gateway g(one_of_many());
     g.list(fleet(1, 2) + fleet(7, 2, "south", 1));
-    int away = 0;
-    for (std::uint64_t id = 1; id <= 60; ++id) away += serve(g, id).first.starts_with("rsouth") ? 1 : 0;
-    EXPECT_GE(away, 20);
-    EXPECT_LE(away, 58);
+    int elsewhere = 0;
+    for (std::uint64_t id = 1; id <= 60; ++id) elsewhere += serve(g, id).first.starts_with("rsouth") ? 1 : 0;
+    EXPECT_GE(elsewhere, 20);
+    EXPECT_LE(elsewhere, 58);
 }
 
-TEST(Fleet, StatesLeaveACellShortOfWriters) {
+TEST(Fleet, KvStatesLeaveACellShortOfDecodeServers) {
     Gateway g(one_of_many());
     g.list(fleet(6, 1) + fleet(1, 6, "north", 1));
     int crowded = 0;
@@ -227,7 +231,7 @@
 }
 
 // Lfcc8ee: a session's turns come to any gateway and must find their text, whatever each gateway has seen.
-TEST(Fleet, GatewaysOfAZoneReadASessionAtTheSameReader) {
+TEST(Fleet, GatewaysOfAZonePrefillASessionAtTheSameServer) {
     const auto list = fleet(6, 8) + fleet(6, 8, "south", 1);
     const auto taught = [&](int seed) {
         Gateway g(one_of_many(), static_cast<std::uint64_t>(seed));
@@ -258,9 +262,9 @@
     EXPECT_GE(same, 45);
 }
 
-// Lfcc8ee: a busy zone's few cells with writers to spare got all states that left others, 60 streams each,
-// while writers of other zones had eight.
-TEST(Fleet, LeavingStatesGoWhereWritersAreToSpare) {
+// Lfcc8ee: a busy zone's few cells with decode servers to spare got all states that left others, 60 streams
+// each, while decode servers of other zones had eight.
+TEST(Fleet, LeavingKvStatesGoWhereDecodeServersAreToSpare) {
     Gateway g(one_of_many());
     g.list(fleet(12, 2) + fleet(4, 7, "north", 1) + fleet(0, 9, "south", 2));
     int near = 0, south = 0;
@@ -274,7 +278,7 @@
     EXPECT_GT(south, 2 * near);
 }
 
-TEST(Fleet, AProbeAsksBeforeAnAttemptIsCalledOff) {
+TEST(Fleet, AHealthCheckIsMadeBeforeAnAttemptIsCancelled) {
     for (const bool answered : {true, false}) {
         Gateway g(one_of_many());
         g.list({server("r", "reader"), server("w", "writer")});
@@ -295,7 +299,7 @@
     }
 }
 
-TEST(Fleet, AProbeThatQueuesProvesNoDeath) {
+TEST(Fleet, AHealthCheckThatQueuesProvesNoFailure) {
     Gateway g(one_of_many());
     g.list({server("r", "reader"), server("w", "writer")});
     g.step({HealthCheckEnded{{"w"}, AttemptOutcome::ok, 200ms, {}}});
@@ -306,7 +310,7 @@
     EXPECT_TRUE(g.all<CancelAttempt>().empty());
 }
 
-TEST(Fleet, SlowReadsMakeItTakePartAndRefuseTheRestAtOnce) {
+TEST(Fleet, SlowPrefillsMakeItAdmitAPartAndRejectTheRestAtOnce) {
     Gateway g(one_of_many());
     g.list(fleet(8, 8));
     for (std::uint64_t id = 1; id <= 20; ++id) {
@@ -333,9 +337,9 @@
     EXPECT_GT(taken, 2U);
 }
 
-// In a jam what is refused is drawn, request by request: neither long prompts nor certain sessions are
+// In an overload what is rejected is drawn, request by request: neither long prompts nor certain sessions are
 // singled out.
-TEST(Fleet, RefusalsInAJamFollowNeitherPromptLengthNorSession) {
+TEST(Fleet, RejectionsInAnOverloadFollowNeitherPromptLengthNorSession) {
     constexpr int kSessions = 40;
     constexpr int kRounds = 50;
     constexpr int kSizes = 10;
@@ -351,7 +355,7 @@
         g.step({request});
         const auto reader = g.sent_to();
         if (reader.empty()) return false;
-        // Half of the aim: the readers are jammed.
+        // Half of the objective: the prefill servers are overloaded.
         g.step({AttemptEnded{{id}, {0}, {reader}, AttemptOutcome::prefilled, 500ms, false, false, 0, {}}});
         const auto writer = g.sent_to();
         g.begin_stream(id, 1, writer);
@@ -379,8 +383,8 @@
         EXPECT_GT(taken_by_session[session], share * kRounds / 3) << session;
 }
 
-// Lfcc8ee: readers full of reads that could be in time no more, so that all others were late as well.
-TEST(Fleet, InAJamAReadPastItsAimIsCalledOffAndRefused) {
+// Lfcc8ee: prefill servers full of reads that could be in time no more, so that all others were late as well.
+TEST(Fleet, InAnOverloadAPrefillPastItsObjectiveIsCancelledAndRejected) {
     for (const Duration usual : {Duration{1500ms}, Duration{20ms}}) {
         Gateway g(one_of_many());
         g.list(fleet(1, 1));
@@ -408,7 +412,7 @@
     }
 }
 
-TEST(Fleet, FullWritersLowerOneLimitForAll) {
+TEST(Fleet, DecodeServersAtCapacityLowerOneLimitForAll) {
     const auto admitted = [](int fulls) {
         Gateway g(one_of_many());
         g.list(fleet(12, 12));
--- a/tests/policy/router_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -7,7 +7,7 @@
 namespace chalksail::testing {
 namespace {
 
-TEST(Life, ReadsThenWritesThenForgets) {
+TEST(RequestLifecycle, PrefillsThenDecodesThenForgets) {
     Gateway g;
     g.list({server("r", "reader"), server("w", "writer")});
     g.arrive(1);
@@ -20,7 +20,7 @@
     EXPECT_EQ(g.router.tracked_requests(), 0U);
 }
 
-TEST(Settings, NonsenseIsRefusedWithAReason) {
+TEST(Settings, InconsistentSettingsAreRefusedWithAReason) {
     auto s = plain_settings();
     s.classes.clear();
     EXPECT_THROW(Router(s, 1), std::invalid_argument);
@@ -42,7 +42,7 @@
     EXPECT_EQ(g.sent_to(), "");
 }
 
-TEST(Rules, OnceIsNotRepeatedNorRefusedAfterItMayHaveRun) {
+TEST(Rules, NonIdempotentIsNeitherRetriedNorRejectedAfterItMayHaveRun) {
     for (const auto outcome :
          {AttemptOutcome::error, AttemptOutcome::timeout, AttemptOutcome::reset, AttemptOutcome::cancelled}) {
         Gateway g;
@@ -58,7 +58,7 @@
     }
 }
 
-TEST(Rules, OnceGoesAgainWhenProvedNotToHaveRun) {
+TEST(Rules, NonIdempotentIsRetriedWhenProvedNotToHaveRun) {
     for (const auto outcome : {AttemptOutcome::at_capacity, AttemptOutcome::connect_failed}) {
         Gateway g;
         g.list({server("r", "reader"), server("v", "writer"), server("w", "writer")});
@@ -71,7 +71,7 @@
     }
 }
 
-TEST(Rules, KeyedStaysInItsGroup) {
+TEST(Rules, KeyedStaysInItsDeduplicationScope) {
     Gateway g;
     g.list({server("r", "reader"), server("w", "writer", "north"), server("far", "writer", "south", 1)});
     g.arrive(1, "keyed");
@@ -82,19 +82,19 @@
     EXPECT_EQ(g.all<Reject>().size(), 0U);
 }
 
-TEST(Rules, StateIsReleasedWhenTheClientGoes) {
+TEST(Rules, KvStateIsReleasedWhenTheClientDisconnects) {
     Gateway g;
     g.list({server("r", "reader"), server("w", "writer")});
     g.arrive(1);
     g.step({ClientDisconnected{{1}}});
     EXPECT_EQ(g.all<CancelAttempt>().size(), 1U);
-    g.end(1, 0, "r", AttemptOutcome::prefilled);  // the read had ended all the same
+    g.end(1, 0, "r", AttemptOutcome::prefilled);  // the prefill had ended all the same
     EXPECT_EQ(g.all<ReleaseKvState>().size(), 1U);
     EXPECT_EQ(g.router.tracked_requests(), 0U);
 }
 
 // Guards against healthy servers that are taken out by clients who leave while a connection is being made.
-TEST(Health, AClientThatGoesWhileItsAttemptDialsProvesNothing) {
+TEST(Health, AClientThatDisconnectsWhileItsAttemptDialsProvesNothing) {
     Gateway g;
     g.list({server("r", "reader"), server("w", "writer")});
     g.arrive(1);
@@ -104,13 +104,13 @@
     EXPECT_EQ(g.sent_to(), "r");
 }
 
-TEST(Rules, WaitingStateIsSentOnOrReleasedInTime) {
+TEST(Rules, WaitingKvStateIsForwardedOrReleasedInTime) {
     Gateway g;
     g.list({server("r", "reader"), server("w", "writer")});
     g.arrive(1);
-    auto gone = server("w", "writer");
-    gone.state = EndpointState::removed;
-    g.list({gone}, EndpointUpdateKind::delta);
+    auto removed = server("w", "writer");
+    removed.state = EndpointState::removed;
+    g.list({removed}, EndpointUpdateKind::delta);
     g.end(1, 0, "r", AttemptOutcome::prefilled);
     EXPECT_EQ(g.all<ReleaseKvState>().size(), 0U);
     const Time ended = g.now;
@@ -121,9 +121,9 @@
     EXPECT_LT(g.now - ended, 400ms);
 }
 
-// Guards against a state kept while one writer after another can't be reached: its time does not begin anew
-// with an attempt that never came to a server.
-TEST(Rules, StatesTimeRunsOnWhileNoConnectionComesUp) {
+// Guards against a state kept while one decode server after another can't be reached: its time does not begin
+// anew with an attempt that never came to a server.
+TEST(Rules, ReleaseTimeRunsOnWhileNoConnectionComesUp) {
     Gateway g;
     g.list({server("r", "reader"), server("u", "writer"), server("v", "writer"), server("w", "writer")});
     g.arrive(1);
@@ -137,8 +137,8 @@
     EXPECT_EQ(g.all<ReleaseKvState>().size(), 1U);
 }
 
-// The same behind a write that breaks, is given up or called off without an answer: it may lie unread.
-TEST(Rules, StatesTimeRunsOnOverEndsWithoutAnAnswer) {
+// The same behind a write that breaks, is given up or cancelled without an answer: it may lie unread.
+TEST(Rules, ReleaseTimeRunsOnOverEndsWithoutAnAnswer) {
     for (const auto outcome : {AttemptOutcome::reset, AttemptOutcome::timeout, AttemptOutcome::cancelled,
                                AttemptOutcome::at_capacity}) {
         Gateway g;
@@ -146,9 +146,9 @@
         g.arrive(1);
         g.end(1, 0, "r", AttemptOutcome::prefilled);
         ASSERT_EQ(g.sent_to(), "w");
-        auto gone = server("w", "writer");
-        gone.state = EndpointState::removed;
-        g.list({gone}, EndpointUpdateKind::delta);  // nobody is left to write
+        auto removed = server("w", "writer");
+        removed.state = EndpointState::removed;
+        g.list({removed}, EndpointUpdateKind::delta);  // nobody is left to write
         const Time held = g.now;
         g.pass(300ms);
         g.end(1, 1, "w", outcome);
@@ -177,8 +177,9 @@
     EXPECT_EQ(g.router.tracked_requests(), 0U);
 }
 
-// A step that comes a tick late finds the deadline over: what was never sent is given up before, and refused.
-TEST(Rules, HeldRequestIsRefusedTwoTicksBeforeItsDeadline) {
+// A step that comes a tick late finds the deadline over: what was never sent is given up before, and
+// rejected.
+TEST(Rules, HeldRequestIsRejectedTwoTicksBeforeItsDeadline) {
     Gateway g;
     g.list({server("w", "writer")});  // none that reads, and it may not read by itself
     g.arrive(1);
@@ -188,8 +189,8 @@
     EXPECT_EQ(g.all<Fail>().size(), 0U);
 }
 
-// Nobody could write the answer: it is refused at its aim, not held until its deadline.
-TEST(Hold, WithNoWriterInServiceOnlyUntilTheAim) {
+// Nobody could write the answer: it is rejected at its objective, not held until its deadline.
+TEST(Holding, WithNoDecodeServerInServiceOnlyUntilTheObjective) {
     Gateway g;
     g.list({server("r", "reader")});
     g.arrive(1);
@@ -201,11 +202,11 @@
     EXPECT_LE(g.now - start, plain_settings().classes[0].first_token_objective + 8ms);
 }
 
-TEST(Rules, ColdServerGetsOneRequestAWindowWhileNothingIsKnown) {
+TEST(Rules, WarmingServerGetsOneRequestAWindowWhileNothingIsKnown) {
     Gateway g;
-    auto cold = server("w", "writer");
-    cold.started_at = g.now - 1s;
-    g.list({server("r", "reader"), cold});
+    auto warming = server("w", "writer");
+    warming.started_at = g.now - 1s;
+    g.list({server("r", "reader"), warming});
     for (std::uint64_t id = 1; id <= 4; ++id) {
         g.arrive(id);
         if (g.sent_to() == "r") g.end(id, 0, "r", AttemptOutcome::prefilled);
@@ -213,7 +214,7 @@
     }
 }
 
-TEST(Hold, CountsReadsUnderWayAgainstTheRoom) {
+TEST(Holding, CountsPrefillsInFlightAgainstTheCapacity) {
     Gateway g;
     g.list({server("r", "reader"), server("w", "writer")});
     int sent = 0;
@@ -225,7 +226,7 @@
     EXPECT_LE(sent, 100'000 / 1200 + 1);
 }
 
-TEST(Hold, FullLowersAWritersLimit) {
+TEST(Holding, AtCapacityLowersADecodeServersLimit) {
     const auto admitted = [](int fulls) {
         Gateway g;
         g.list({server("r", "reader"), server("w", "writer")});
@@ -247,7 +248,7 @@
     EXPECT_LT(admitted(3), admitted(0));
 }
 
-TEST(Hold, LateFirstTokenAfterANearMoveLowersTheLimit) {
+TEST(Holding, LateFirstTokenAfterANearTransferLowersTheLimit) {
     const auto admitted = [](Duration first_token) {
         Gateway g;
         g.list({server("r", "reader"), server("w", "writer")});
@@ -272,7 +273,7 @@
     EXPECT_LT(admitted(900ms), admitted(50ms));
 }
 
-TEST(Hold, FullMemoryReportClosesAWriterButNotForGood) {
+TEST(Holding, FullMemoryReportClosesADecodeServerButNotForGood) {
     auto settings = plain_settings();
     settings.report_fields = {ReportField::active, ReportField::memory_share};
     Gateway g(settings);
@@ -281,14 +282,14 @@
     g.end(1, 0, "r", AttemptOutcome::prefilled);
     g.end(1, 1, "w", AttemptOutcome::ok, true, 0, {40, 0.99});
     g.arrive(2);
-    EXPECT_EQ(g.sent_to(), "");  // held before its read
+    EXPECT_EQ(g.sent_to(), "");  // held before its prefill
     g.pass(3500ms);
     g.step();  // nothing has been sent there, so no newer report came
     g.arrive(3);
     EXPECT_EQ(g.sent_to(), "r");
 }
 
-TEST(Hold, ReadersQueueIsBoundedByTheSeenPace) {
+TEST(Holding, PrefillQueueIsBoundedByTheObservedPace) {
     Gateway g;
     g.list({server("r", "reader"), server("v", "writer"), server("w", "writer")});
     g.arrive(1);
@@ -305,7 +306,7 @@
     EXPECT_LE(sent, 2);
 }
 
-TEST(Health, SilentReaderIsLeftButABusyOneIsWaitedFor) {
+TEST(Health, SilentPrefillServerIsLeftButABusyOneIsWaitedFor) {
     for (const bool busy : {false, true}) {
         Gateway g;
         g.list({server("r", "reader"), server("w", "writer")});
@@ -326,7 +327,7 @@
     }
 }
 
-TEST(Health, WhenAllWritersFailAttemptsAreNotUsedUpAtOnce) {
+TEST(Health, WhenAllDecodeServersFailAttemptsAreNotUsedUpAtOnce) {
     Gateway g;
     g.list({server("r", "reader"), server("v", "writer"), server("w", "writer")});
     g.arrive(1);
@@ -341,7 +342,7 @@
     EXPECT_FALSE(g.sent_to().empty());
 }
 
-TEST(Health, OneErrorKeepsOnceRequestsAway) {
+TEST(Health, OneErrorMakesNonIdempotentRequestsAvoidAServer) {
     Gateway g;
     g.list({server("r", "reader"), server("v", "writer"), server("w", "writer")});
     g.arrive(1);
@@ -349,12 +350,12 @@
     const auto erring = g.sent_to();
     g.end(1, 1, erring, AttemptOutcome::error);
     const auto other = g.sent_to();
-    g.arrive(2, "order");  // the other writer is the busier one now
+    g.arrive(2, "order");  // the other decode server is the busier one now
     g.end(2, 0, "r", AttemptOutcome::prefilled);
     EXPECT_EQ(g.sent_to(), other);
 }
 
-TEST(Writer, AJammedLinkKeepsStatesInTheirCell) {
+TEST(DecodeSelection, AnOverloadedLinkKeepsKvStatesInTheirCell) {
     const auto chosen = [](Duration far_pull) {
         Gateway g;
         auto lone = server("r", "reader", "north", 0);
@@ -364,7 +365,7 @@
         g.step({StreamStarted{{1}, {1}, {"far"}, far_pull}});
         g.end(1, 1, "far", AttemptOutcome::ok, true);
         g.list({server("near", "writer", "north", 0)}, EndpointUpdateKind::delta);
-        for (std::uint64_t id = 2; id < 8; ++id) {  // the near writer carries some streams already
+        for (std::uint64_t id = 2; id < 8; ++id) {  // the near decode server carries some streams already
             g.arrive(id);
             g.end(id, 0, "r", AttemptOutcome::prefilled);
             if (g.sent_to() != "near") return g.sent_to();
@@ -375,7 +376,7 @@
     EXPECT_EQ(chosen(900ms), "near");
 }
 
-TEST(Reader, SessionGoesBackToItsKeptText) {
+TEST(PrefillSelection, SessionReturnsToItsCachedText) {
     Gateway g;
     g.list({server("q", "reader"), server("r", "reader"), server("w", "writer")});
     auto first = Gateway::request(1);
@@ -388,9 +389,9 @@
     EXPECT_EQ(g.sent_to(), home);
 }
 
-// What a server tells of its kept text counts in place of the guess: found where it is, not looked for where
-// it was evicted; and it only weighs as much as it saves.
-TEST(Reader, KeptTextThatIsToldCountsInPlaceOfTheGuess) {
+// What a server tells of its cached text counts in place of the estimate: found where it is, not looked for
+// where it was evicted; and it only weighs as much as it saves.
+TEST(PrefillSelection, ReportedCacheCountsInPlaceOfTheEstimate) {
     for (const std::string& holder : {std::string("q"), std::string("r")}) {
         Gateway g;
         g.list({server("q", "reader"), server("r", "reader"), server("w", "writer")});
@@ -405,7 +406,7 @@
         }
     }
 }
-TEST(Reader, EvictedTextIsNotLookedForWhereItIsTold) {
+TEST(PrefillSelection, EvictedTextIsNotExpectedWhereTheCacheIsReported) {
     Gateway g;
     g.list({server("q", "reader"), server("r", "reader"), server("w", "writer")});
     auto first = Gateway::request(1, "talk", 10'000);
@@ -425,7 +426,7 @@
     g.step({next});
     EXPECT_EQ(g.sent_to(), other);
 }
-TEST(Reader, PopularTextSpreadsOverReadersWhereItIsTold) {
+TEST(PrefillSelection, PopularTextSpreadsWhereTheCacheIsReported) {
     Gateway g;
     g.list({server("q", "reader"), server("r", "reader"), server("w", "writer")});
     g.step({CacheReportingChanged{{"q"}, true}, CacheReportingChanged{{"r"}, true}});
@@ -438,13 +439,14 @@
     }
     EXPECT_TRUE(readers.contains("r"));
 }
-// A reader that keeps the text but has no room is waited for, for a part of the aim; one that drains is not.
-TEST(Reader, FullReaderThatKeepsTheTextIsWaitedFor) {
+// A prefill server that keeps the text but has no capacity is waited for, for a part of the objective; one
+// that drains is not.
+TEST(PrefillSelection, BusyPrefillServerWithTheTextCachedIsWaitedFor) {
     for (const bool drains : {false, true}) {
         Gateway g;
         g.list({server("q", "reader"), server("r", "reader"), server("w", "writer")});
         g.step({CacheReportingChanged{{"q"}, true}, CacheReportingChanged{{"r"}, true}});
-        // Reads are slow: a second one at the same reader would take too much of the aim.
+        // Reads are slow: a second one at the same prefill server would take too much of the objective.
         for (std::uint64_t id = 1; id <= 4; ++id) {
             g.step({Gateway::request(id, "talk", 3000)});
             const auto at = g.sent_to();
@@ -476,7 +478,7 @@
         EXPECT_LT(g.now - from, 1s);
     }
 }
-TEST(Reader, AServerThatStartsAnewIsGuessedAgain) {
+TEST(PrefillSelection, ARestartedServerIsEstimatedAgain) {
     Gateway g;
     auto q = server("q", "reader");
     g.list({q, server("r", "reader"), server("w", "writer")});
@@ -495,7 +497,7 @@
     EXPECT_EQ(g.sent_to(), plain.sent_to());
 }
 
-TEST(Hold, OutputGuessesAreBucketsCappedByTheClient) {
+TEST(Holding, PredictedOutputsAreBucketsCappedByTheClient) {
     const auto admitted = [](Duration hint, double cap) {
         Gateway g;
         g.list({server("r", "reader"), server("w", "writer")});
@@ -515,7 +517,7 @@
     EXPECT_EQ(admitted(50ms * 1100, 200), admitted(50ms * 260, 200));    // capped
 }
 
-TEST(Reader, TiesGoByPrefixHashAndStayThere) {
+TEST(PrefillSelection, TiesGoByPrefixHashAndStayThere) {
     std::set<std::string> homes;
     for (int prefix = 0; prefix < 20; ++prefix) {
         std::string home;
@@ -533,7 +535,7 @@
     EXPECT_EQ(homes.size(), 2U);
 }
 
-TEST(Writer, FullForWantOfAStateIsReadAnew) {
+TEST(DecodeSelection, MissingKvStateIsPrefilledAgain) {
     Gateway g;
     g.list({server("r", "reader"), server("w", "writer")});
     g.arrive(1);
@@ -542,7 +544,7 @@
     EXPECT_EQ(g.sent_to(), "r");
 }
 
-TEST(Health, ConnectFailureEjectsAndAProbeLeadsBack) {
+TEST(Health, ConnectFailureEjectsAndAHealthCheckLeadsBack) {
     Gateway g;
     g.list({server("r", "reader"), server("q", "reader"), server("w", "writer")});
     g.arrive(1);
@@ -561,10 +563,10 @@
     EXPECT_EQ(g.sent_to(), bad);
 }
 
-// Random but legal sequences from fixed seeds, with a check of the rules that knows nothing of the module.
-class World {
+// Random but legal sequences from fixed seeds, with a check of the rules that knows nothing of the router.
+class RandomGateway {
 public:
-    World(const Settings& settings, unsigned seed)
+    RandomGateway(const Settings& settings, unsigned seed)
         : settings_(settings), random_(seed), gateway_(settings, seed) {
         for (const char* id : {"r1", "r2", "w1", "w2", "m1"}) {
             auto entry = server(id,
@@ -748,7 +750,7 @@
         if (seed % 6 == 0) settings.prefill_on_decode_enabled = true;
         if (seed > 12) settings.gateways = 100;
         SCOPED_TRACE(seed);
-        World(settings, seed).run();
+        RandomGateway(settings, seed).run();
     }
 }
 
@@ -768,7 +770,7 @@
     EXPECT_EQ(play(), play());
 }
 
-TEST(Robust, UnknownAndRepeatedEventsPassWithoutEffect) {
+TEST(Robustness, UnknownAndRepeatedEventsPassWithoutEffect) {
     Gateway g;
     g.list({});
     g.end(9, 0, "x", AttemptOutcome::ok);
@@ -778,9 +780,9 @@
     EXPECT_TRUE(g.last.empty());
 }
 
-// Guards against a read outside the group: once a by-key attempt may have run, each further attempt keeps to
-// its group, one at a reader too.
-TEST(Repeats, ReadsKeepToTheGroupToo) {
+// Guards against a read outside the group: once a keyed attempt may have run, each further attempt keeps to
+// its group, one at a prefill server too.
+TEST(Retries, PrefillsKeepToTheDeduplicationScopeToo) {
     auto s = plain_settings();
     s.max_attempts = 6;
     Gateway g(s);
@@ -792,14 +794,15 @@
     g.end(1, 1, "w1", AttemptOutcome::reset);
     g.list({server("w2", "writer", "north")}, EndpointUpdateKind::delta);
     EXPECT_EQ(g.sent_to(), "w2");
-    g.end(1, 2, "w2", AttemptOutcome::at_capacity, false, true);  // the state is gone: to be read anew
+    g.end(1, 2, "w2", AttemptOutcome::at_capacity, false,
+          true);  // the KV state is missing: to be prefilled again
     EXPECT_EQ(g.sent_to(), "");
     g.list({server("r2", "reader", "north")}, EndpointUpdateKind::delta);
     EXPECT_EQ(g.sent_to(), "r2");
 }
 
 // Each request counts against its own tenant, by the exact name; a name without a share is beyond any.
-TEST(Tenants, AreToldApartByTheirExactNames) {
+TEST(Tenants, AreDistinguishedByTheirExactNames) {
     auto s = plain_settings();
     s.tenants = {{"north", 1}, {"North", 1}};
     s.over_quota_weight_factor = 0.1;
@@ -816,9 +819,9 @@
     EXPECT_EQ(order, (std::vector<std::uint64_t>{1, 3, 2, 4, 5}));
 }
 
-// A gateway whose loop is behind turns away what is new, at once and with advice; what it has it goes on
+// A gateway whose loop is behind rejects what is new, at once and with advice; what it has it goes on
 // with.
-TEST(LoopBehind, TurnsAwayWhatIsNew) {
+TEST(EventLoopLag, RejectsNewRequests) {
     for (const bool late : {false, true}) {
         Gateway g;
         g.arrive(1);  // held: no server is listed
