--- a/apps/lab/main.cpp
+++ b/apps/lab/main.cpp
@@ -8,12 +8,12 @@
 #include <filesystem>
 #include <fstream>
 #include <iostream>
-#include <iterator>
 #include <optional>
 
 #include "base/json.hpp"
 #include "checker/account.hpp"
 #include "checker/checker.hpp"
+#include "lab/scenario_files.hpp"
 #include "report/report.hpp"
 #include "scenario/scenario.hpp"
 #include "simulation/compare.hpp"
@@ -27,36 +27,6 @@
 using namespace chalksail;
 using namespace chalksail::lab;
 
-std::optional<std::string> read_file(const std::string& file) {
-    std::ifstream in(file, std::ios::binary);
-    if (!in) {
-        std::cerr << file << ": can't be read\n";
-        return std::nullopt;
-    }
-    return std::string{std::istreambuf_iterator<char>(in), {}};
-}
-
-// A base is looked up beside the file that names it; one that has a base itself is an error.
-std::optional<Scenario> read_scenario(const std::string& file, bool may_have_base = true) {
-    const auto text = read_file(file);
-    if (!text) return std::nullopt;
-    std::optional<Scenario> base;
-    if (const auto name = base_of(*text)) {
-        if (!may_have_base) {
-            std::cerr << file << ": a base can't have a base\n";
-            return std::nullopt;
-        }
-        base = read_scenario((std::filesystem::path(file).parent_path() / *name).string(), false);
-        if (!base) return std::nullopt;
-    }
-    auto scenario = parse_scenario(*text, file, base ? &*base : nullptr);
-    if (!scenario) {
-        for (const auto& problem : scenario.error()) std::cerr << format(problem) << '\n';
-        return std::nullopt;
-    }
-    return std::move(*scenario);
-}
-
 std::string beside_this(const std::string& program) {
     return (std::filesystem::read_symlink("/proc/self/exe").parent_path() / program).string();
 }
