--- a/src/platform/answer.cpp
+++ b/src/platform/answer.cpp
@@ -12,13 +12,13 @@
 constexpr int kStateMissing = 410;
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
-constexpr double kMaxTokens = 1e12;  // larger counts are nonsense
+constexpr double kMaxReportedTokens = 1e12;  // larger counts are nonsense
 
 // 0 for anything that is no token count.
 double token_count(const json::Value* value) {
     if (value == nullptr || !value->IsNumber()) return 0;
     const double count = value->GetDouble();
-    return count >= 0 && count < kMaxTokens ? count : 0;
+    return count >= 0 && count < kMaxReportedTokens ? count : 0;
 }
 
 Judgement judge_response(const Facts& facts) {
