--- a/apps/edge/main.cpp
+++ b/apps/edge/main.cpp
@@ -252,12 +252,12 @@
     return serve(settings, [&](uv_loop_t& loop, chalksail::observe::Log& log) {
         const auto& l = configuration->limits;
         log.info("configuration",
-                 "gateway " + std::to_string(settings.module.gateway) + " of " +
-                     std::to_string(settings.module.gateways) + "; " + std::to_string(l.memory_mb) + " MB, " +
-                     std::to_string(l.sockets) +
-                     " descriptors: " + std::to_string(settings.limits.connections) + " for clients, " +
+                 "gateway " + std::to_string(settings.router.gateway) + " of " +
+                     std::to_string(settings.router.gateways) + "; " + std::to_string(l.memory_mb) + " MB, " +
+                     std::to_string(l.sockets) + " descriptors: " +
+                     std::to_string(settings.limits.client_connections) + " for clients, " +
                      std::to_string(settings.limits.server_connections) + " for servers; streams " +
-                     (settings.module.stream_resumption_enabled ? "can" : "can't") + " be resumed");
+                     (settings.router.stream_resumption_enabled ? "can" : "can't") + " be resumed");
         auto watch = std::make_unique<chalksail::net::DiscoveryWatch>(loop, log, configuration->discovery,
                                                                       std::move(configuration->known));
         auto* const list = watch.get();
--- a/apps/edge/tls_probe.cpp
+++ b/apps/edge/tls_probe.cpp
@@ -74,7 +74,7 @@
         return 2;
     }
     config::TlsConfig config;
-    config.trust = trust;
+    config.trusted_cas = trust;
     tls::CertificateReloader files(config);
     if (files.poll(std::time(nullptr)) != tls::CertificateReloader::PollResult::replaced) {
         std::cerr << "tls probe: " << files.error() << '\n';
--- a/apps/lab/main.cpp
+++ b/apps/lab/main.cpp
@@ -91,25 +91,25 @@
     const double attempts_per_request =
         all.requests == 0 ? 0 : static_cast<double>(account.attempts()) / static_cast<double>(all.requests);
     return json::ObjectWriter()
-        .flag("simulated", true)
-        .whole("asked", whole(all.requests))
-        .whole("served", whole(all.served))
-        .whole("in_time", whole(all.in_time))
-        .whole("refused", whole(all.refused))
-        .whole("failed", whole(all.failed))
-        .whole("hung_up", whole(all.disconnected))
+        .boolean("simulated", true)
+        .integer("asked", whole(all.requests))
+        .integer("served", whole(all.served))
+        .integer("in_time", whole(all.in_time))
+        .integer("refused", whole(all.refused))
+        .integer("failed", whole(all.failed))
+        .integer("hung_up", whole(all.disconnected))
         .number("worth", all.weight_share())
         .number("first_token_p50_ms", account.first_token_ms().quantile(0.5))
         .number("first_token_p90_ms", account.first_token_ms().quantile(0.9))
         .number("first_token_p99_ms", account.first_token_ms().quantile(0.99))
         .number("attempts_per_request", attempts_per_request)
         .number("waste", account.waste())
-        .whole("cold_servers_fell", whole(figures.overloads))
-        .whole("guards", whole(figures.guards))
-        .whole("open_at_end", whole(figures.open_at_end))
-        .whole("dialled", static_cast<std::int64_t>(figures.connections.dialled))
-        .whole("dial_failed", static_cast<std::int64_t>(figures.connections.dial_failed))
-        .whole("rules_broken", whole(rule_report.breaches.size()))
+        .integer("cold_servers_fell", whole(figures.overloads))
+        .integer("guards", whole(figures.guards))
+        .integer("open_at_end", whole(figures.open_at_end))
+        .integer("dialled", static_cast<std::int64_t>(figures.connections.dialled))
+        .integer("dial_failed", static_cast<std::int64_t>(figures.connections.dial_failed))
+        .integer("rules_broken", whole(rule_report.breaches.size()))
         .done();
 }
 
@@ -119,7 +119,7 @@
     if (!scenario) return 2;
     if (seed) scenario->seed = *seed;
     const auto length = scenario->length;
-    const auto classes = scenario->edge.module.classes;
+    const auto classes = scenario->edge.router.classes;
     std::cout << "'" << scenario->name << "' in virtual time, seed " << scenario->seed << ": "
               << scenario->engines.size() << " engines, " << scenario->edges << " edges, "
               << scenario->clients << " clients, " << format_duration(length) << std::endl;
@@ -188,18 +188,18 @@
             for (const double n : result.by_measure[static_cast<std::size_t>(Measure::requests)])
                 requests += n;
             json::ObjectWriter out;
-            out.flag("simulated", true)
+            out.boolean("simulated", true)
                 .text("arm", arm.name)
-                .whole("engines", static_cast<std::int64_t>(s.engines.size()))
-                .whole("edges", s.edges)
-                .whole("clients", s.clients)
-                .whole("seeds", static_cast<std::int64_t>(seeds));
+                .integer("engines", static_cast<std::int64_t>(s.engines.size()))
+                .integer("edges", s.edges)
+                .integer("clients", s.clients)
+                .integer("seeds", static_cast<std::int64_t>(seeds));
             for (std::size_t m = 0; m < kMeasures; ++m) {
                 const auto e = estimate(result.by_measure[m]);
                 out.raw(std::string(name(static_cast<Measure>(m))).c_str(),
                         "[" + std::to_string(e.mean) + "," + std::to_string(e.half_width) + "]");
             }
-            out.whole("rules_broken", static_cast<std::int64_t>(result.rules_broken))
+            out.integer("rules_broken", static_cast<std::int64_t>(result.rules_broken))
                 .number("requests_a_second", requests / elapsed.count())
                 .number("of_real_time", std::chrono::duration<double>(s.length).count() *
                                             static_cast<double>(seeds) / elapsed.count());
@@ -231,10 +231,10 @@
         if (mutant) break;
     }
     std::cout << json::ObjectWriter()
-                     .flag("simulated", true)
-                     .whole("from", static_cast<std::int64_t>(from))
-                     .whole("seeds", static_cast<std::int64_t>(seeds))
-                     .whole("found", static_cast<std::int64_t>(found))
+                     .boolean("simulated", true)
+                     .integer("from", static_cast<std::int64_t>(from))
+                     .integer("seeds", static_cast<std::int64_t>(seeds))
+                     .integer("found", static_cast<std::int64_t>(found))
                      .done()
               << std::endl;
     return found == 0 ? 0 : 1;
@@ -269,17 +269,17 @@
         << " " << what.best << " (simulated).\n"
         << to_kdl(shrunk, beside);
     std::cout << json::ObjectWriter()
-                     .flag("simulated", true)
-                     .whole("seed", static_cast<std::int64_t>(what.scenario.seed))
+                     .boolean("simulated", true)
+                     .integer("seed", static_cast<std::int64_t>(what.scenario.seed))
                      .number("regret_found", found)
                      .number("module", what.module)
                      .text("best", what.best_name)
                      .number("best_worth", what.best)
-                     .whole("engines", static_cast<std::int64_t>(what.scenario.engines.size()))
-                     .whole("edges", what.scenario.edges)
-                     .whole("clients", what.scenario.clients)
-                     .whole("troubles", static_cast<std::int64_t>(what.scenario.faults.size()))
-                     .whole("rules_broken", static_cast<std::int64_t>(what.rules_broken))
+                     .integer("engines", static_cast<std::int64_t>(what.scenario.engines.size()))
+                     .integer("edges", what.scenario.edges)
+                     .integer("clients", what.scenario.clients)
+                     .integer("troubles", static_cast<std::int64_t>(what.scenario.faults.size()))
+                     .integer("rules_broken", static_cast<std::int64_t>(what.rules_broken))
                      .text("scenario", out)
                      .done()
               << std::endl;
@@ -317,15 +317,15 @@
         std::cerr << wire << ": holds no record\n";
         return 2;
     }
-    Account account(scenario->edge.module.classes, records->front().at);
+    Account account(scenario->edge.router.classes, records->front().at);
     for (const auto& r : *records) account.add(r);
     // Only virtual time records what the gateways did.
     const bool simulated = std::any_of(records->begin(), records->end(),
                                        [](const auto& r) { return r.kind == RecordKind::sent; });
     RuleFigures figures;
-    figures.max_attempts = scenario->edge.module.max_attempts;
-    figures.answer_slack = scenario->edge.module.answer_slack;
-    figures.release_within = scenario->edge.module.release_within;
+    figures.max_attempts = scenario->edge.router.max_attempts;
+    figures.answer_slack = scenario->edge.router.answer_slack;
+    figures.release_within = scenario->edge.router.release_within;
     figures.measuring = simulated ? std::chrono::milliseconds(2) : Duration(scenario->measuring);
     const auto rule_report = check(*records, figures);
     std::ofstream page(out, std::ios::binary | std::ios::trunc);
--- a/bench/edge_bench.cpp
+++ b/bench/edge_bench.cpp
@@ -286,7 +286,7 @@
 
     static net::PoolLimits limits() {
         net::PoolLimits out;
-        out.per_server = 40'000;
+        out.connections_per_server = 40'000;
         out.queue = 40'000;
         out.dial_timeout = 10s;
         out.idle = 600s;
@@ -298,8 +298,8 @@
                    .text("model", "m")
                    .raw("messages", R"([{"role":"system","content":")" + std::string(1000, 's') +
                                         R"("},{"role":"user","content":")" + std::string(600, 'u') + R"("}])")
-                   .whole("max_tokens", 64)
-                   .flag("stream", true)
+                   .integer("max_tokens", 64)
+                   .boolean("stream", true)
                    .raw("stream_options", R"({"include_usage":true})")
                    .done();
         const auto parsed = chat::parse_request(body);
@@ -335,7 +335,7 @@
         begun.erase(call);
         ++done;
     }
-    void on_failed(net::UpstreamPool::Call call, engine::Ending, std::string) override {
+    void on_failed(net::UpstreamPool::Call call, engine::ExchangeEnd, std::string) override {
         started_at.erase(call);
         begun.erase(call);
         ++failed;
@@ -560,7 +560,7 @@
                 const auto some = b.first_chunks(*child, kRate, 2s);
                 all->insert(all->end(), some.begin(), some.end());
             }
-        out.whole((how + "_requests_each").c_str(), static_cast<std::int64_t>(of_tls.size()));
+        out.integer((how + "_requests_each").c_str(), static_cast<std::int64_t>(of_tls.size()));
         for (const auto& [name, part] : {std::pair{"p50", 0.5}, std::pair{"p99", 0.99}}) {
             const double a = quantile(of_clear, part), t = quantile(of_tls, part);
             out.number((how + "_clear_" + name + "_ms").c_str(), a);
@@ -573,7 +573,7 @@
         shaken += s->counts().handshakes;
         resumed += s->counts().handshakes_resumed;
     }
-    out.whole("handshakes", static_cast<std::int64_t>(shaken));
+    out.integer("handshakes", static_cast<std::int64_t>(shaken));
     out.number("resumed",
                static_cast<double>(resumed) / static_cast<double>(std::max<std::uint64_t>(1, shaken)));
     clear.stop();
@@ -629,10 +629,11 @@
                      .number("first_chunk_ms_edge", edge_first)
                      .number("first_chunk_ms_relay", relay_first)
                      .number("first_chunk_ms_added", edge_first - relay_first)
-                     .whole("open_streams", static_cast<std::int64_t>(open))
+                     .integer("open_streams", static_cast<std::int64_t>(open))
                      .number("kib_each_stream", memory / 1024)
-                     .whole("failed", static_cast<std::int64_t>(edge_requests.failed + relay_requests.failed +
-                                                                edge_chunks.failed + relay_chunks.failed))
+                     .integer("failed",
+                              static_cast<std::int64_t>(edge_requests.failed + relay_requests.failed +
+                                                        edge_chunks.failed + relay_chunks.failed))
                      .done()
               << std::endl;
     _exit(0);
--- a/bench/flood_bench.cpp
+++ b/bench/flood_bench.cpp
@@ -110,7 +110,7 @@
         : pool(loop, static_cast<net::UpstreamPool::Handler&>(*this), limits()) {}
     static net::PoolLimits limits() {
         net::PoolLimits out;
-        out.per_server = 1'000;
+        out.connections_per_server = 1'000;
         return out;
     }
     net::UpstreamPool pool;
@@ -136,7 +136,7 @@
                 1e3);
     }
     void on_done(net::UpstreamPool::Call call) override { failed += call == kMetrics ? 0 : 1; }
-    void on_failed(net::UpstreamPool::Call, engine::Ending, std::string) override { ++failed; }
+    void on_failed(net::UpstreamPool::Call, engine::ExchangeEnd, std::string) override { ++failed; }
 };
 
 std::string figures(std::vector<double> delays) {
--- a/bench/tls_bench.cpp
+++ b/bench/tls_bench.cpp
@@ -142,7 +142,7 @@
     void on_head(net::UpstreamPool::Call, int, http::Headers) override {}
     void on_body(net::UpstreamPool::Call, std::string bytes) override { got += bytes.size(); }
     void on_done(net::UpstreamPool::Call) override { done = true; }
-    void on_failed(net::UpstreamPool::Call, engine::Ending, std::string why) override {
+    void on_failed(net::UpstreamPool::Call, engine::ExchangeEnd, std::string why) override {
         throw std::runtime_error(why);
     }
     // Bytes for each CPU second of both ends together, in pieces of this size.
--- a/include/chalksail/chalksail.hpp
+++ b/include/chalksail/chalksail.hpp
@@ -1,15 +1,15 @@
-// The public interface of the chalksail routing module: the decisions of a gateway in front of separate
-// prefill and decode servers.
+// The public interface of the chalksail routing module, which makes the routing decisions of a gateway in
+// front of separate prefill and decode servers.
 //
-// One Router is one gateway. Give it, batch by batch, the events that the gateway has observed, and carry out
-// the actions that it returns, in order.
+// Each gateway uses one Router. The embedder passes it batches of the events that the gateway has observed,
+// and carries out the actions that it returns, in order.
 //
 // Ownership: a Router owns all of its state and copies what it needs from the events.
 // Threads: use one instance from one thread; instances share nothing.
 // Clock: the time given to step() is the only clock, and must not go backwards.
 // Errors: the constructor throws std::invalid_argument when the settings are inconsistent; step() does not
-// throw for any order of legal events. The embedder owes one AttemptEnded for each Send, and calls step()
-// again no later than the time of each SetTimer.
+// throw for any order of legal events. The embedder must report one AttemptEnded for each Send, and must call
+// step() again no later than the time of each SetTimer.
 #pragma once
 
 #include <chrono>
@@ -23,7 +23,7 @@
 
 namespace chalksail {
 
-// The clock of a gateway: its embedder's monotonic time, in nanoseconds.
+// The clock of a gateway: the embedder's monotonic time, in nanoseconds.
 struct GatewayClock {
     using duration = std::chrono::nanoseconds;
     using rep = duration::rep;
@@ -35,11 +35,11 @@
 using Time = GatewayClock::time_point;
 inline double seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
-// A value with a type of its own, so that ids of different kinds cannot be mixed up.
+// A strongly typed value, so that ids of different kinds cannot be confused.
 template <class Tag, class Value>
 struct Strong {
     Value value{};
-    // The linter takes the comparison that the compiler writes for a null pointer.
+    // The linter mistakes the compiler-generated comparison for a null pointer constant.
     friend auto operator<=>(const Strong&, const Strong&) = default;  // NOLINT(modernize-use-nullptr)
 };
 using RequestId = Strong<struct RequestTag, std::uint64_t>;
@@ -52,26 +52,26 @@
 // Whether a request may be attempted again once an earlier attempt may have run.
 enum class Idempotency {
     idempotent,         // always
-    idempotent_by_key,  // within the deduplication scope and window, where servers drop repeats of a key
+    idempotent_by_key,  // within the deduplication scope and window, in which servers drop repeated keys
     non_idempotent      // never
 };
-// The servers that share the record of idempotency keys.
+// Which servers share their record of idempotency keys.
 enum class DeduplicationScope { all, zone, cell };
 enum class Role { prefill, decode, mixed };
-// Meaning of the values in a load report, in order.
+// The meaning of a value in a load report.
 enum class ReportField { other, active, memory_share, prompt_backlog };
 
 struct RequestClassSettings {
     std::string name;
-    Duration first_token_objective{};                  // latency objective of the first token ...
-    Duration first_token_objective_per_1000_tokens{};  // ... and what each 1,000 prompt tokens add to it
+    Duration first_token_objective{};                  // latency objective of the first token,
+    Duration first_token_objective_per_1000_tokens{};  // plus this for each 1,000 prompt tokens
     Duration inter_token_objective{};  // latency objective of the mean interval between tokens
     Duration deadline{};
     Idempotency idempotency = Idempotency::idempotent;
     DeduplicationScope deduplication_scope = DeduplicationScope::all;  // idempotent_by_key only
     Duration deduplication_window{};                                   // idempotent_by_key only
     double priority_weight = 1;
-    double late_weight_factor = 0;  // part of the weight that is left once the objective is missed
+    double late_weight_factor = 0;  // fraction of the weight that remains once the objective is missed
 };
 struct ServerKindSettings {
     std::string name;
@@ -80,31 +80,31 @@
 };
 struct TenantSettings {
     std::string name;
-    double quota_per_s = 0;  // requests a second, over all gateways
+    double quota_per_s = 0;  // requests per second, over all gateways
 };
 struct Settings {
     std::vector<RequestClassSettings> classes;
     std::vector<ServerKindSettings> kinds;
     std::vector<TenantSettings> tenants;
     std::vector<ReportField> report_fields;
-    std::string zone;  // this gateway's
-    int gateway = 0;   // this gateway's number
-    int gateways = 1;  // how many there are
+    std::string zone;  // this gateway's zone
+    int gateway = 0;   // this gateway's index, from 0
+    int gateways = 1;  // number of gateways
     Duration tick{};
     Duration answer_slack{};
-    Duration release_within{};               // a KV state must be fetched or released in this time
+    Duration release_within{};               // a KV state must be fetched or released within this time
     Duration slow_start_duration{};          // how long a started server warms up
-    double slow_start_initial_capacity = 1;  // its part of the full capacity at the start
+    double slow_start_initial_capacity = 1;  // fraction of the full capacity at the start
     double slow_start_overload_factor = 1;   // a warming server fails above its capacity times this ...
-    Duration slow_start_overload_window{};   // ... over this time
+    Duration slow_start_overload_window{};   // ... over this window
     Duration dial_timeout{};
     Duration max_retry_after{};  // 0: clients ignore Retry-After
-    Duration poll_within{};      // how soon the endpoint list has to be polled
+    Duration poll_within{};      // maximum time until the endpoint list has to be polled
     int max_attempts = 1;
-    double over_quota_weight_factor = 1;  // of the priority weight, for requests above their tenant's quota
+    double over_quota_weight_factor = 1;  // priority weight factor of requests above their tenant's quota
     double cross_cell_cost = 0;
     double cross_zone_cost = 0;
-    bool weigh_by_work = false;  // priority weights count for each unit of work, not for each request
+    bool weigh_by_work = false;  // priority weights apply per unit of work, not per request
     bool endpoint_watch_required = false;
     bool cancellation_enabled = false;
     bool health_checks_enabled = false;
@@ -113,13 +113,13 @@
     bool prefill_on_decode_enabled = false;
     bool stream_resumption_enabled = false;
 };
-// Throws std::invalid_argument, with the reason, where the settings are inconsistent.
+// Throws std::invalid_argument with the reason if the settings are inconsistent.
 void validate(const Settings& settings);
 
-// ---- events: what the gateway has observed ----
+// ---- events that the gateway has observed ----
 
 enum class EndpointState { up, draining, removed };
-// One model server, as service discovery lists it.
+// A model server, as listed by service discovery.
 struct Endpoint {
     ServerId id;
     std::string zone;
@@ -132,14 +132,14 @@
 enum class EndpointUpdateKind {
     delta,            // only the endpoints that have changed
     snapshot,         // all endpoints
-    cached_snapshot,  // all endpoints, from a time before this process; may be out of date
-    watch_lost        // no endpoints: the watch has ended
+    cached_snapshot,  // all endpoints as stored before this process started; may be out of date
+    watch_lost        // the watch has ended; lists no endpoints
 };
 struct EndpointUpdate {
     EndpointUpdateKind kind = EndpointUpdateKind::snapshot;
     std::vector<Endpoint> endpoints;
 };
-// Leading tokens of a request's prompt that a server reports to have in its prefix cache.
+// The number of leading prompt tokens that a server reports to have in its prefix cache.
 struct CachedPrefix {
     ServerId server;
     double tokens = 0;
@@ -155,28 +155,28 @@
     double prompt_tokens = 0;
     double shared_tokens = 0;  // leading tokens of the prompt that `prefix` stands for
     double max_output = 0;     // tokens; zero: unknown
-    // Of servers that report their cache (CacheReportingChanged). One of them that is missing here has none
-    // of the prompt cached.
+    // For the servers that report their cache (CacheReportingChanged). A reporting server that is not listed
+    // here has none of the prompt cached.
     std::vector<CachedPrefix> cached_prefixes;
     bool retry = false;           // the client's own retry
-    bool resumes_stream = false;  // continues a stream that broke
+    bool resumes_stream = false;  // continues a broken stream
 };
 struct StreamStarted {
     RequestId id;
     AttemptId attempt;
     ServerId server;
-    Duration elapsed{};  // since the attempt was sent
+    Duration elapsed{};  // time since the attempt was sent
 };
 enum class AttemptOutcome {
     ok,
     error,
-    at_capacity,  // the server had no capacity and has not run it
+    at_capacity,  // the server had no capacity and did not run the attempt
     timeout,
     connect_failed,
     reset,
     cancelled,
     not_sent,  // withdrawn before its first byte
-    prefilled  // a prefill attempt has left its KV state
+    prefilled  // a prefill attempt succeeded and left its KV state
 };
 struct AttemptEnded {
     RequestId id;
@@ -184,19 +184,19 @@
     ServerId server;
     AttemptOutcome outcome = AttemptOutcome::error;
     Duration elapsed{};
-    bool request_finished = false;    // the client has its final answer
+    bool request_finished = false;    // the client has received its final response
     bool kv_state_missing = false;    // at_capacity only: there was no KV state to fetch
     double cached_prompt_tokens = 0;  // ok and prefilled: prompt tokens found in the prefix cache
-    std::vector<double> load_report;  // as Settings::report_fields say; empty: none
+    std::vector<double> load_report;  // in the order of Settings::report_fields; empty: none
 };
 struct ReservationResult {
     RequestId id;
     ServerId server;
     bool reserved = false;
 };
-// The embedder has released the request's KV state at a server while an attempt was in flight, because that
-// attempt did not prove in time that it had arrived. It may still end well; any other attempt needs a new
-// prefill.
+// The embedder has released the request's KV state while an attempt was in flight, because there was no proof
+// in time that the attempt had reached its server. The attempt may still succeed; any other attempt needs a
+// new prefill.
 struct KvStateReleased {
     RequestId id;
 };
@@ -212,12 +212,13 @@
     Duration elapsed{};
     std::vector<double> load_report;
 };
-// From now on a server's cached prefixes come with each request, or are left again to the module's estimate.
+// A server has started or stopped reporting its cache. While it reports, RequestArrived lists its cached
+// prefixes; otherwise the module estimates them.
 struct CacheReportingChanged {
     ServerId server;
     bool reporting = false;
 };
-// From another gateway. The module sends none and ignores them.
+// A message from another gateway. The module ignores these, and sends none.
 struct PeerMessage {
     std::int64_t from = 0;
     std::string hex;
@@ -226,7 +227,7 @@
                            KvStateReleased, ClientDisconnected, TimerFired, HealthCheckEnded,
                            CacheReportingChanged, PeerMessage>;
 
-// ---- actions: what the gateway has to do ----
+// ---- actions for the gateway to carry out ----
 
 // Sends the request to a server; the attempts of a request are numbered in this order.
 struct Send {
@@ -234,12 +235,12 @@
     ServerId server;
     Duration timeout{};  // zero: until the client's deadline
 };
-// Answers the client that the request was not run, and may be retried.
+// Responds to the client that the request was not run and may be retried.
 struct Reject {
     RequestId id;
     Duration retry_after{};  // zero: no Retry-After
 };
-// Answers the client with an error: the request may have run.
+// Responds to the client with an error, as the request may have run.
 struct Fail {
     RequestId id;
 };
@@ -247,7 +248,7 @@
     RequestId id;
     AttemptId attempt;
 };
-// Releases what servers hold for the request.
+// Releases the KV state and capacity that servers have reserved for the request.
 struct ReleaseKvState {
     RequestId id;
 };
@@ -266,14 +267,15 @@
     Time at{};
     TimerId id;
 };
-// Starts or ends the watch of the endpoint list.
+// Starts or stops watching the endpoint list.
 struct WatchEndpoints {
     bool enabled = true;
 };
 using Action = std::variant<Send, Reject, Fail, CancelAttempt, ReleaseKvState, MigrateStream, Reserve,
                             HealthCheck, SetTimer, WatchEndpoints>;
 
-// The decisions of one gateway. See the head of this file for ownership, threads, clock and errors.
+// Makes the routing decisions of one gateway. The comment at the top of this file describes ownership,
+// threads, clock and errors.
 class Router {
 public:
     Router(const Settings& settings, std::uint64_t seed);
@@ -283,9 +285,10 @@
     Router(const Router&) = delete;
     Router& operator=(const Router&) = delete;
 
-    // Takes a batch of events and returns the actions that follow from them, to be carried out in order.
+    // Processes a batch of events and returns the resulting actions, to be carried out in order.
     [[nodiscard]] std::vector<Action> step(Time now, std::span<const Event> events);
-    // Requests that still have state here: open ones, and ended ones with an attempt in flight.
+    // Returns the number of requests that the router tracks: open ones, and ended ones with an attempt in
+    // flight.
     [[nodiscard]] std::size_t tracked_requests() const;
 
 private:
--- a/lab/checker/record.cpp
+++ b/lab/checker/record.cpp
@@ -19,7 +19,7 @@
 
 std::string format(const Record& r) {
     json::ObjectWriter out;
-    out.whole("at", r.at.time_since_epoch().count()).text("what", name(r.kind));
+    out.integer("at", r.at.time_since_epoch().count()).text("what", name(r.kind));
     const auto text = [&](const char* key, const std::string& value) {
         if (!value.empty()) out.text(key, value);
     };
@@ -27,18 +27,18 @@
     text("gateway", r.gateway);
     text("server", r.server);
     text("zone", r.zone);
-    if (r.cell != 0) out.whole("cell", r.cell);
-    if (r.attempt >= 0) out.whole("attempt", r.attempt);
-    if (r.read) out.flag("read", true);
+    if (r.cell != 0) out.integer("cell", r.cell);
+    if (r.attempt >= 0) out.integer("attempt", r.attempt);
+    if (r.read) out.boolean("read", true);
     text("class", r.cls);
     if (r.kind == RecordKind::requested) {
-        out.whole("effect", static_cast<int>(r.effect)).whole("group", static_cast<int>(r.group));
-        out.whole("deadline", r.deadline.count()).whole("window", r.window.count());
-        out.whole("aim", r.first_token_objective.count());
+        out.integer("effect", static_cast<int>(r.effect)).integer("group", static_cast<int>(r.group));
+        out.integer("deadline", r.deadline.count()).integer("window", r.window.count());
+        out.integer("aim", r.first_token_objective.count());
     }
     text("fate", r.termination);
-    if (r.status != 0) out.whole("status", r.status);
-    if (!r.intact) out.flag("intact", false);
+    if (r.status != 0) out.integer("status", r.status);
+    if (!r.intact) out.boolean("intact", false);
     if (r.value != 0) out.number("value", r.value);
     return out.done();
 }
--- a/lab/model/exchange.cpp
+++ b/lab/model/exchange.cpp
@@ -21,18 +21,18 @@
 
 std::string usage_json(double prompt, double completion, double cached) {
     return json::ObjectWriter()
-        .whole("prompt_tokens", static_cast<std::int64_t>(prompt))
-        .whole("completion_tokens", static_cast<std::int64_t>(completion))
-        .whole("total_tokens", static_cast<std::int64_t>(prompt + completion))
+        .integer("prompt_tokens", static_cast<std::int64_t>(prompt))
+        .integer("completion_tokens", static_cast<std::int64_t>(completion))
+        .integer("total_tokens", static_cast<std::int64_t>(prompt + completion))
         .raw("prompt_tokens_details",
-             json::ObjectWriter().whole("cached_tokens", static_cast<std::int64_t>(cached)).done())
+             json::ObjectWriter().integer("cached_tokens", static_cast<std::int64_t>(cached)).done())
         .done();
 }
 
 json::ObjectWriter& begin(json::ObjectWriter& out, const EngineRequest& engine_request, const char* kind) {
     return out.text("id", "chatcmpl-" + engine_request.request)
         .text("object", kind)
-        .whole("created", kCreated)
+        .integer("created", kCreated)
         .text("model", engine_request.model);
 }
 
@@ -101,12 +101,12 @@
 std::string prefill_answer(const EngineRequest& engine_request, JobId job, double cached_tokens,
                            const EngineAddress& engine) {
     const std::string params = json::ObjectWriter()
-                                   .flag("do_remote_prefill", true)
-                                   .flag("do_remote_decode", false)
+                                   .boolean("do_remote_prefill", true)
+                                   .boolean("do_remote_decode", false)
                                    .text("remote_engine_id", engine.name)
                                    .raw("remote_block_ids", "[" + std::to_string(job) + "]")
                                    .text("remote_host", engine.host)
-                                   .whole("remote_port", engine.port)
+                                   .integer("remote_port", engine.port)
                                    .done();
     json::ObjectWriter out;
     return begin(out, engine_request, "chat.completion")
--- a/lab/scenario/scenario.cpp
+++ b/lab/scenario/scenario.cpp
@@ -52,11 +52,11 @@
         std::string base;
         top.text("base", base);
         std::int64_t n = 0;
-        if (top.whole("seed", n, 0, INT64_MAX)) out_.seed = static_cast<std::uint64_t>(n);
+        if (top.integer("seed", n, 0, INT64_MAX)) out_.seed = static_cast<std::uint64_t>(n);
         top.duration("length", out_.length);
-        if (top.whole("edges", n, 1, 1000)) out_.edges = small(n);
-        if (top.whole("clients", n, 1, 100'000)) out_.clients = small(n);
-        if (top.whole("client-retries", n, 0, 10)) out_.client_retries = small(n);
+        if (top.integer("edges", n, 1, 1000)) out_.edges = small(n);
+        if (top.integer("clients", n, 1, 100'000)) out_.clients = small(n);
+        if (top.integer("client-retries", n, 0, 10)) out_.client_retries = small(n);
         top.duration("client-ramp", out_.client_ramp);
         top.duration("list-lag", out_.list_lag);
         top.duration("list-spread", out_.list_spread);
@@ -69,14 +69,14 @@
             out_.zones.push_back(std::get<std::string>(z.arguments.front().scalar));
         });
         top.each("links", 0, [&](const kdl::Node& node) {
-            Block b(node.children, node.place, "'links'", problems_);
+            Block b(node.children, node.position, "'links'", problems_);
             b.real("in-cell", out_.links.in_cell, 1, 1e12);
             b.real("rack", out_.links.rack, 1, 1e12);
             b.real("zone-factor", out_.links.zone_factor, 1, 1000);
             b.done();
         });
         top.each("network", 0, [&](const kdl::Node& node) {
-            Block b(node.children, node.place, "'network'", problems_);
+            Block b(node.children, node.position, "'network'", problems_);
             b.duration("same-zone", out_.network.same_zone);
             b.duration("other-zone", out_.network.other_zone);
             b.duration("jitter", out_.network.jitter);
@@ -91,17 +91,17 @@
         });
         if (!edge && !based_) problems_.add({}, "the scenario needs 'edge' with the edges' settings");
         top.each("caches", 0, [&](const kdl::Node& node) {
-            Block b(node.children, node.place, "'caches'", problems_);
+            Block b(node.children, node.position, "'caches'", problems_);
             std::int64_t past = 0;
             b.real("lost", out_.caches.lost, 0, 1);
-            if (b.whole("past", past, 0, 1'000'000)) out_.caches.past = static_cast<std::size_t>(past);
+            if (b.integer("past", past, 0, 1'000'000)) out_.caches.past = static_cast<std::size_t>(past);
             b.done();
         });
         top.each("tls", 0, [&](const kdl::Node& node) {
-            Block b(node.children, node.place, "'tls'", problems_);
+            Block b(node.children, node.position, "'tls'", problems_);
             std::int64_t count = 0;
-            if (b.whole("edges", count, 0, out_.edges)) out_.tls.edges = small(count);
-            if (b.whole("renewals", count, 0, 10'000)) out_.tls.renewals = small(count);
+            if (b.integer("edges", count, 0, out_.edges)) out_.tls.edges = small(count);
+            if (b.integer("renewals", count, 0, 10'000)) out_.tls.renewals = small(count);
             std::size_t tickets = 0;
             if (b.word("tickets", {"kept", "new"}, tickets)) out_.tls.keeps_tickets = tickets == 0;
             b.done();
@@ -138,11 +138,11 @@
         // Kept as written, for the edges' own files; read here too, so that its errors show now.
         out_.edge_text =
             std::string(text_.substr(node.children_begin, node.children_end - node.children_begin));
-        const std::string before(std::max<std::size_t>(1, node.place.line) - 1, '\n');
+        const std::string before(std::max<std::size_t>(1, node.position.line) - 1, '\n');
         auto settings = config::parse_settings(before + out_.edge_text, file_);
         if (settings) out_.edge = std::move(*settings);
         else
-            for (const auto& p : settings.error()) problems_.add(p.place, "in 'edge': " + p.text);
+            for (const auto& p : settings.error()) problems_.add(p.position, "in 'edge': " + p.text);
     }
 
     void engines(const kdl::Node& node) {
@@ -150,12 +150,12 @@
         EngineSpec spec;
         spec.kind = p.text("kind");
         std::int64_t count = 1;
-        p.whole("count", count, 1, 1000);
-        const auto& kinds = out_.edge.module.kinds;
+        p.integer("count", count, 1, 1000);
+        const auto& kinds = out_.edge.router.kinds;
         const auto kind =
             std::find_if(kinds.begin(), kinds.end(), [&](const auto& k) { return k.name == spec.kind; });
         if (kind == kinds.end())
-            problems_.add(node.place, "kind '" + spec.kind + "' is none of the edge's kinds");
+            problems_.add(node.position, "kind '" + spec.kind + "' is none of the edge's kinds");
         else {
             spec.role = kind->role;
             const auto more = std::find_if(out_.edge.kinds.begin(), out_.edge.kinds.end(),
@@ -163,15 +163,15 @@
             spec.publishes = more != out_.edge.kinds.end() && more->cache_events;
             if (kind->memory_tokens > 0) spec.memory_tokens = kind->memory_tokens;
         }
-        spec.slow_start_duration = out_.edge.module.slow_start_duration;
-        spec.slow_start_initial_capacity = out_.edge.module.slow_start_initial_capacity;
-        spec.overload_factor = out_.edge.module.slow_start_overload_factor;
-        spec.overload_window = out_.edge.module.slow_start_overload_window;
-        spec.read_in_place = out_.edge.module.prefill_on_decode_enabled;
-        Block b(node.children, node.place, "'engines'", problems_);
+        spec.slow_start_duration = out_.edge.router.slow_start_duration;
+        spec.slow_start_initial_capacity = out_.edge.router.slow_start_initial_capacity;
+        spec.overload_factor = out_.edge.router.slow_start_overload_factor;
+        spec.overload_window = out_.edge.router.slow_start_overload_window;
+        spec.read_in_place = out_.edge.router.prefill_on_decode_enabled;
+        Block b(node.children, node.position, "'engines'", problems_);
         std::int64_t n = 0;
-        if (b.whole("slots", n, 1, 100'000)) spec.slots = small(n);
-        if (b.whole("queue", n, 0, 100'000)) spec.queue = small(n);
+        if (b.integer("slots", n, 1, 100'000)) spec.slots = small(n);
+        if (b.integer("queue", n, 0, 100'000)) spec.queue = small(n);
         b.real("memory-tokens", spec.memory_tokens, 1, 1e12);
         b.real("read-pace", spec.read_pace, 1, 1e12);
         b.duration("token-interval", spec.token_interval);
@@ -188,19 +188,19 @@
         Properties(node, {}, 1, problems_);
         TrafficClass c;
         c.name = std::get<std::string>(node.arguments.front().scalar);
-        const auto& classes = out_.edge.module.classes;
+        const auto& classes = out_.edge.router.classes;
         if (std::none_of(classes.begin(), classes.end(), [&](const auto& k) { return k.name == c.name; }))
-            problems_.add(node.place, "class '" + c.name + "' is none of the edge's classes");
-        Block b(node.children, node.place, "'traffic'", problems_);
+            problems_.add(node.position, "class '" + c.name + "' is none of the edge's classes");
+        Block b(node.children, node.position, "'traffic'", problems_);
         std::int64_t n = 0;
         b.text("model", c.model, Need::required);
         b.real("share", c.share, 0, 1e6);
         b.real("streamed", c.stream_part, 0, 1);
-        if (b.whole("turns", n, 1, 1000)) c.turns = small(n);
-        if (b.whole("system-bytes", n, 0, 10'000'000)) c.system_bytes = small(n);
-        if (b.whole("prefixes", n, 1, 100'000)) c.prefixes = small(n);
-        if (b.whole("turn-bytes", n, 1, 10'000'000)) c.turn_bytes = small(n);
-        if (b.whole("max-tokens", n, 1, 1'000'000)) c.max_tokens = small(n);
+        if (b.integer("turns", n, 1, 1000)) c.turns = small(n);
+        if (b.integer("system-bytes", n, 0, 10'000'000)) c.system_bytes = small(n);
+        if (b.integer("prefixes", n, 1, 100'000)) c.prefixes = small(n);
+        if (b.integer("turn-bytes", n, 1, 10'000'000)) c.turn_bytes = small(n);
+        if (b.integer("max-tokens", n, 1, 1'000'000)) c.max_tokens = small(n);
         b.duration("think", c.think);
         b.done();
         out_.traffic.push_back(std::move(c));
@@ -210,14 +210,14 @@
         Properties(node, {}, 1, problems_);
         Arm a;
         a.name = std::get<std::string>(node.arguments.front().scalar);
-        Block b(node.children, node.place, "'arm'", problems_);
+        Block b(node.children, node.position, "'arm'", problems_);
         std::size_t policy = 0;
         if (b.word("policy", {kPolicies.begin(), kPolicies.end()}, policy))
             a.policy = static_cast<PlacementPolicy>(policy);
-        b.flag("cache-events", a.cache_events);
+        b.boolean("cache-events", a.cache_events);
         double lost = 0;
         if (b.real("lost", lost, 0, 1)) a.lost = lost;
-        b.flag("instant", a.instant);
+        b.boolean("instant", a.instant);
         b.done();
         out_.arms.push_back(std::move(a));
     }
@@ -227,8 +227,8 @@
             const auto it = std::find(kFaults.begin(), kFaults.end(), t.name);
             if (it == kFaults.end()) {
                 const auto near = config::nearest(t.name, {kFaults.begin(), kFaults.end()});
-                problems_.add(t.place, "unknown trouble '" + t.name + "'" +
-                                           (near.empty() ? "" : "; did you mean '" + near + "'?"));
+                problems_.add(t.position, "unknown trouble '" + t.name + "'" +
+                                              (near.empty() ? "" : "; did you mean '" + near + "'?"));
                 continue;
             }
             const Properties p(t,
@@ -240,7 +240,7 @@
             Fault out;
             out.kind = static_cast<FaultKind>(it - kFaults.begin());
             if (!p.duration("at", out.at) || !p.duration("for", out.lasts))
-                problems_.add(t.place, "'" + t.name + "' needs at= and for=");
+                problems_.add(t.position, "'" + t.name + "' needs at= and for=");
             out.server = p.text("server");
             out.engines = p.text("engines");
             out.zone = p.text("zone");
@@ -251,17 +251,17 @@
             p.duration("notice", out.notice);
             const auto named = [&](const EngineSpec& e) { return e.name == out.server; };
             if (!out.server.empty() && std::none_of(out_.engines.begin(), out_.engines.end(), named))
-                problems_.add(t.place, "no engine is called '" + out.server + "'");
+                problems_.add(t.position, "no engine is called '" + out.server + "'");
             if (!out.zone.empty() &&
                 std::find(out_.zones.begin(), out_.zones.end(), out.zone) == out_.zones.end())
-                problems_.add(t.place, "no zone is called '" + out.zone + "'");
+                problems_.add(t.position, "no zone is called '" + out.zone + "'");
             if (out.kind == FaultKind::zone_loss && out.zone.empty())
-                problems_.add(t.place, "'zone_loss' needs zone=");
+                problems_.add(t.position, "'zone_loss' needs zone=");
             if (out.kind == FaultKind::wrong_name && out_.tls.edges == 0)
-                problems_.add(t.place, "'wrong_name' needs 'tls' with edges");
-            p.whole("times", times, 1, 10'000);
+                problems_.add(t.position, "'wrong_name' needs 'tls' with edges");
+            p.integer("times", times, 1, 10'000);
             p.duration("every", every);
-            if (times > 1 && every <= Duration::zero()) problems_.add(t.place, "'times' needs every=");
+            if (times > 1 && every <= Duration::zero()) problems_.add(t.position, "'times' needs every=");
             for (std::int64_t i = 0; i < times; ++i) {
                 out_.faults.push_back(out);
                 out.at += every;
@@ -330,7 +330,7 @@
     Problems problems(file);
     const auto document = kdl::parse(text);
     if (!document) {
-        problems.add(document.error().place, document.error().text);
+        problems.add(document.error().position, document.error().text);
         return tl::unexpected(problems.all());
     }
     auto scenario = Reader(*document, text, file, problems, base).read();
--- a/lab/simulation/compare.cpp
+++ b/lab/simulation/compare.cpp
@@ -41,7 +41,7 @@
 Played play(const Scenario& scenario, const Arm& arm, std::uint64_t seed) {
     Simulation day(arm_scenario(scenario, arm, seed), arm.policy);
     day.keep_records(false);
-    Account account(scenario.edge.module.classes, day.begin());
+    Account account(scenario.edge.router.classes, day.begin());
     day.watch([&](const Record& r) { account.add(r); });
     const auto rule_report = day.run();
     const auto& f = day.figures();
@@ -138,7 +138,7 @@
 
 std::string to_json(const std::vector<ArmResult>& arms) {
     json::ObjectWriter out;
-    out.flag("simulated", true);
+    out.boolean("simulated", true);
     for (const auto& arm : arms) {
         json::ObjectWriter one;
         for (std::size_t m = 0; m < kMeasures; ++m) {
@@ -146,11 +146,11 @@
             one.raw(kNames[m].data(),
                     "[" + std::to_string(e.mean) + "," + std::to_string(e.half_width) + "]");
         }
-        one.whole("rules_broken", static_cast<std::int64_t>(arm.rules_broken))
-            .whole("cache_batches", static_cast<std::int64_t>(arm.cache_batches))
-            .whole("cache_lost", static_cast<std::int64_t>(arm.cache_lost))
-            .whole("gaps", static_cast<std::int64_t>(arm.gaps))
-            .whole("gaps_unfilled", static_cast<std::int64_t>(arm.unfilled));
+        one.integer("rules_broken", static_cast<std::int64_t>(arm.rules_broken))
+            .integer("cache_batches", static_cast<std::int64_t>(arm.cache_batches))
+            .integer("cache_lost", static_cast<std::int64_t>(arm.cache_lost))
+            .integer("gaps", static_cast<std::int64_t>(arm.gaps))
+            .integer("gaps_unfilled", static_cast<std::int64_t>(arm.unfilled));
         out.raw(arm.name.c_str(), one.done());
     }
     return out.done();
--- a/lab/simulation/simulated_connections.cpp
+++ b/lab/simulation/simulated_connections.cpp
@@ -36,7 +36,7 @@
     return it == connections_.end() ? nullptr : &it->second;
 }
 
-void SimulatedConnections::fail(std::size_t gateway, core::CallId call, engine::Ending ending,
+void SimulatedConnections::fail(std::size_t gateway, core::CallId call, engine::ExchangeEnd ending,
                                 const char* why) {
     ends_.give(gateway, core::CallFailed{call, ending, why});
 }
@@ -78,7 +78,7 @@
     const auto give_up = [this, gateway, id] {
         if (!undial(gateway, id)) return;
         figures_.dial_failed += 1;
-        fail(gateway, id, engine::Ending::dial_failed, "not established in time");
+        fail(gateway, id, engine::ExchangeEnd::dial_failed, "not established in time");
     };
     const auto dialled = network_.dial(gateway, engine, timeline_.now(), limits_.dial_timeout);
     if (!dialled) return timeline_.at(dial_deadline, give_up);
@@ -97,7 +97,7 @@
         network_.close(number);
         undial(gateway, call.call);
         figures_.dial_failed += 1;
-        return fail(gateway, call.call, engine::Ending::dial_failed, "refused");
+        return fail(gateway, call.call, engine::ExchangeEnd::dial_failed, "refused");
     }
     figures_.dialled += 1;
     Wire& w = connections_[number];
@@ -187,7 +187,7 @@
         const auto call = std::exchange(w->call, {});
         calls_[w->gateway].erase(call.value);
         if (w->engine_request) ends_.closed(w->gateway, w->engine, *w->engine_request, true);
-        fail(w->gateway, call, engine::Ending::closed, why);
+        fail(w->gateway, call, engine::ExchangeEnd::connection_closed, why);
     }
     drop(number);
 }
--- a/lab/simulation/simulated_connections.hpp
+++ b/lab/simulation/simulated_connections.hpp
@@ -93,7 +93,7 @@
     void send(sim::Connection number, core::Call call, EngineRequestPtr engine_request);
     void connected(std::size_t gateway, std::size_t engine, sim::Connection number, core::Call call);
     bool undial(std::size_t gateway, core::CallId call);
-    void fail(std::size_t gateway, core::CallId call, engine::Ending ending, const char* why);
+    void fail(std::size_t gateway, core::CallId call, engine::ExchangeEnd ending, const char* why);
     void gateway_sees_end(sim::Connection number, const char* why);
     void engine_sees_end(sim::Connection number);
     void drop(sim::Connection number);
--- a/lab/simulation/simulation.cpp
+++ b/lab/simulation/simulation.cpp
@@ -67,7 +67,7 @@
 
 Simulation::Simulation(Scenario scenario, std::optional<PlacementPolicy> baseline)
     : scenario_(std::move(scenario)),
-      checker_(rules_of(scenario_.edge.module)),
+      checker_(rules_of(scenario_.edge.router)),
       links_(scenario_.links),
       timeline_(Time(std::chrono::seconds(1000))),
       cache_losses_(scenario_.seed, "cache losses"),
@@ -96,13 +96,13 @@
         auto settings = scenario_.edge;
         settings.name = g->name;
         gateway_zones.push_back(i % scenario_.zones.size());
-        settings.module.zone = scenario_.zones[gateway_zones.back()];
+        settings.router.zone = scenario_.zones[gateway_zones.back()];
         settings.seed = scenario_.seed * 1000 + i + 1;
-        settings.module.gateways = scenario_.edges;
-        settings.module.gateway = static_cast<int>(i);
+        settings.router.gateways = scenario_.edges;
+        settings.router.gateway = static_cast<int>(i);
         g->edge = baseline
                       ? std::make_unique<core::Edge>(
-                            settings, std::make_unique<Baseline>(settings.module, settings.seed, *baseline))
+                            settings, std::make_unique<Baseline>(settings.router, settings.seed, *baseline))
                       : std::make_unique<core::Edge>(settings);
         gateways_.push_back(std::move(g));
     }
@@ -111,7 +111,8 @@
                                        sim::Stream(scenario_.seed, "network"));
     connections_ = std::make_unique<SimulatedConnections>(
         timeline_, *network_, static_cast<SimulatedConnections::Ends&>(*this), gateways, hosts_.size(),
-        SimulatedConnections::Limits{scenario_.edge.module.dial_timeout, scenario_.edge.limits.server_idle},
+        SimulatedConnections::Limits{scenario_.edge.router.dial_timeout,
+                                     scenario_.edge.limits.server_idle_timeout},
         sim::Stream(scenario_.seed, "connections"));
 }
 Simulation::~Simulation() = default;
@@ -201,18 +202,18 @@
                          std::string(json::text(json::find(doc, "request_id"))));
         }
         connections_->call(g.number, to, std::move(*call));
-    } else if (const auto* abort = std::get_if<core::CallAbort>(&output)) {
+    } else if (const auto* abort = std::get_if<core::AbortCall>(&output)) {
         connections_->abort(g.number, abort->call);
-    } else if (const auto* begin = std::get_if<core::StreamBegin>(&output)) {
+    } else if (const auto* begin = std::get_if<core::BeginStream>(&output)) {
         if (ClientExchange* exchange = find_client_exchange(begin->client)) exchange->got.head(200, 0);
-    } else if (const auto* bytes = std::get_if<core::StreamBytes>(&output)) {
+    } else if (const auto* bytes = std::get_if<core::SendStreamBytes>(&output)) {
         ClientExchange* exchange = find_client_exchange(bytes->client);
         if (exchange == nullptr || !exchange->got.body(exchange->call, bytes->bytes)) return;
         Record r;
         r.kind = RecordKind::first;
         r.request = exchange->call.number;
         add(std::move(r));
-    } else if (const auto* end = std::get_if<core::StreamEnd>(&output)) {
+    } else if (const auto* end = std::get_if<core::EndStream>(&output)) {
         if (ClientExchange* exchange = find_client_exchange(end->client))
             answered(end->client.value, exchange->got.end(exchange->call));
         else answered_again(end->client);
--- a/lab/sockets/load.cpp
+++ b/lab/sockets/load.cpp
@@ -11,7 +11,7 @@
 net::PoolLimits load_limits() {
     net::PoolLimits out;
     out.message = {64 * 1024, 0};
-    out.per_server = 20'000;
+    out.connections_per_server = 20'000;
     out.queue = 0;
     out.dial_timeout = std::chrono::seconds(3);
     return out;
@@ -79,7 +79,7 @@
     end(call, ended);
 }
 
-void Load::on_failed(net::UpstreamPool::Call call, engine::Ending, std::string) {
+void Load::on_failed(net::UpstreamPool::Call call, engine::ExchangeEnd, std::string) {
     // The gateway was unreachable, or cut the connection: no answer of its own.
     const auto it = calls_.find(call);
     if (it == calls_.end()) return;
--- a/lab/sockets/load.hpp
+++ b/lab/sockets/load.hpp
@@ -51,7 +51,7 @@
     void on_head(net::UpstreamPool::Call call, int status, http::Headers headers) override;
     void on_body(net::UpstreamPool::Call call, std::string bytes) override;
     void on_done(net::UpstreamPool::Call call) override;
-    void on_failed(net::UpstreamPool::Call call, engine::Ending ending, std::string detail) override;
+    void on_failed(net::UpstreamPool::Call call, engine::ExchangeEnd ending, std::string detail) override;
 
     void start(ClientCall client_call);
     void end(net::UpstreamPool::Call call, const Transcript::End& end);
--- a/lab/sockets/scenario_run.cpp
+++ b/lab/sockets/scenario_run.cpp
@@ -24,7 +24,7 @@
     out.message = {64 * 1024, 0};
     // One after the other on one connection: two changes of the list must not overtake each other, or an edge
     // would be blamed for what this tool has told it last.
-    out.per_server = 1;
+    out.connections_per_server = 1;
     out.dial_timeout = std::chrono::seconds(5);
     return out;
 }
@@ -61,47 +61,47 @@
 
 std::string ScenarioResult::format() const {
     json::ObjectWriter out;
-    out.whole("asked", static_cast<std::int64_t>(rule_report.requests))
-        .whole("served", static_cast<std::int64_t>(rule_report.served))
-        .whole("refused", static_cast<std::int64_t>(rule_report.refused))
-        .whole("failed", static_cast<std::int64_t>(rule_report.failed))
-        .whole("rejected", static_cast<std::int64_t>(rule_report.rejected))
-        .whole("hung_up", static_cast<std::int64_t>(rule_report.disconnected))
-        .whole("unanswered", static_cast<std::int64_t>(rule_report.unanswered))
-        .whole("late", static_cast<std::int64_t>(rule_report.late))
-        .whole("garbled", static_cast<std::int64_t>(rule_report.garbled))
-        .whole("rules_broken", static_cast<std::int64_t>(rule_report.breaches.size()))
-        .whole("clients", static_cast<std::int64_t>(clients))
-        .whole("client_retries", static_cast<std::int64_t>(retries))
+    out.integer("asked", static_cast<std::int64_t>(rule_report.requests))
+        .integer("served", static_cast<std::int64_t>(rule_report.served))
+        .integer("refused", static_cast<std::int64_t>(rule_report.refused))
+        .integer("failed", static_cast<std::int64_t>(rule_report.failed))
+        .integer("rejected", static_cast<std::int64_t>(rule_report.rejected))
+        .integer("hung_up", static_cast<std::int64_t>(rule_report.disconnected))
+        .integer("unanswered", static_cast<std::int64_t>(rule_report.unanswered))
+        .integer("late", static_cast<std::int64_t>(rule_report.late))
+        .integer("garbled", static_cast<std::int64_t>(rule_report.garbled))
+        .integer("rules_broken", static_cast<std::int64_t>(rule_report.breaches.size()))
+        .integer("clients", static_cast<std::int64_t>(clients))
+        .integer("client_retries", static_cast<std::int64_t>(retries))
         .number("attempts_per_request",
                 rule_report.requests == 0
                     ? 0
                     : static_cast<double>(rule_report.attempts) / static_cast<double>(rule_report.requests))
         .number("worth", weight_share)
-        .whole("in_time", static_cast<std::int64_t>(in_time))
+        .integer("in_time", static_cast<std::int64_t>(in_time))
         .number("waste", waste)
         .number("first_token_p50_ms", first_token_p50_ms)
         .number("first_token_p90_ms", first_token_p90_ms)
         .number("first_token_p99_ms", first_token_p99_ms)
-        .flag("edges_well", edges_well);
+        .boolean("edges_well", edges_well);
     if (tls) {
         const auto& t = *tls;
         const double later = t.seen.handshakes - t.first_minute.handshakes;
         const auto whole = [](double d) { return static_cast<std::int64_t>(d); };
-        out.whole("tls_handshakes", whole(t.seen.handshakes))
-            .whole("tls_handshakes_busiest_second", whole(t.busiest_second))
-            .whole("tls_handshakes_failed", whole(t.seen.failed))
-            .whole("tls_most_waiting", whole(t.seen.most_waiting))
-            .whole("tls_handshakes_after_first_minute", whole(later))
+        out.integer("tls_handshakes", whole(t.seen.handshakes))
+            .integer("tls_handshakes_busiest_second", whole(t.busiest_second))
+            .integer("tls_handshakes_failed", whole(t.seen.failed))
+            .integer("tls_most_waiting", whole(t.seen.most_waiting))
+            .integer("tls_handshakes_after_first_minute", whole(later))
             .number("tls_resumed_after_first_minute",
                     later > 0 ? (t.seen.resumed - t.first_minute.resumed) / later : 0)
-            .whole("tls_files_replaced", whole(t.seen.replaced))
-            .whole("tls_files_refused", whole(t.seen.refused));
+            .integer("tls_files_replaced", whole(t.seen.replaced))
+            .integer("tls_files_refused", whole(t.seen.refused));
         const auto add = [&](const char* side, const GatewayTally& all) {
             const auto name = [&](const char* what) { return std::string(side) + what; };
-            out.whole(name("_asked").c_str(), static_cast<std::int64_t>(all.requests))
-                .whole(name("_failed").c_str(), static_cast<std::int64_t>(all.failed))
-                .whole(name("_broken_without_a_crash").c_str(), static_cast<std::int64_t>(all.broken))
+            out.integer(name("_asked").c_str(), static_cast<std::int64_t>(all.requests))
+                .integer(name("_failed").c_str(), static_cast<std::int64_t>(all.failed))
+                .integer(name("_broken_without_a_crash").c_str(), static_cast<std::int64_t>(all.broken))
                 .number(name("_first_token_p50_ms").c_str(), quantile(all.first_token_ms, 0.5))
                 .number(name("_first_token_p99_ms").c_str(), quantile(all.first_token_ms, 0.99));
         };
@@ -274,10 +274,10 @@
     out.text("name", server)
         .text("address", format_address(tls ? host->tls_address() : host->address()))
         .text("kind", host->spec().kind);
-    out.text("zone", host->spec().zone).whole("cell", host->spec().cell).text("state", listed.state);
+    out.text("zone", host->spec().zone).integer("cell", host->spec().cell).text("state", listed.state);
     if (const auto* caches = host->caches())
         out.text("events", format_address(caches->events())).text("replay", format_address(caches->replay()));
-    if (listed.started_unix_ms != 0) out.whole("started_unix_ms", listed.started_unix_ms);
+    if (listed.started_unix_ms != 0) out.integer("started_unix_ms", listed.started_unix_ms);
     return out.done();
 }
 
@@ -351,7 +351,7 @@
     }
     pushes_.erase(it);
 }
-void ScenarioRun::on_failed(net::UpstreamPool::Call call, engine::Ending, std::string) {
+void ScenarioRun::on_failed(net::UpstreamPool::Call call, engine::ExchangeEnd, std::string) {
     pushes_.erase(call);
     pages_.erase(call);
 }
@@ -447,7 +447,7 @@
     }
     load_->stop();
     Duration longest{};
-    for (const auto& c : scenario_.edge.module.classes) longest = std::max(longest, c.deadline);
+    for (const auto& c : scenario_.edge.router.classes) longest = std::max(longest, c.deadline);
     const Time last = net::uv_now_time() + longest + std::chrono::seconds(30);
     while (load_->in_hand() > 0 && net::uv_now_time() < last) turn();
     load_->disconnect_all(net::uv_now_time());
@@ -461,7 +461,7 @@
 
     ScenarioResult out;
     RuleFigures figures;
-    const Settings& m = scenario_.edge.module;
+    const Settings& m = scenario_.edge.router;
     figures.answer_slack = m.answer_slack;
     figures.release_within = m.release_within;
     figures.max_attempts = m.max_attempts;
@@ -520,7 +520,7 @@
             e->stopping = true;
             uv_process_kill(&e->process, SIGTERM);
         }
-    const Time limit = net::uv_now_time() + scenario_.edge.limits.drain + std::chrono::seconds(5);
+    const Time limit = net::uv_now_time() + scenario_.edge.limits.drain_timeout + std::chrono::seconds(5);
     const auto any = [&] {
         return std::any_of(edges_.begin(), edges_.end(), [](const auto& e) { return e->running; });
     };
--- a/lab/swarm/search.cpp
+++ b/lab/swarm/search.cpp
@@ -19,7 +19,7 @@
                                                std::optional<PlacementPolicy> policy) {
     Simulation day(scenario, policy);
     day.keep_records(false);
-    Account account(scenario.edge.module.classes, day.begin());
+    Account account(scenario.edge.router.classes, day.begin());
     day.watch([&](const Record& r) { account.add(r); });
     const auto rule_report = day.run();
     return {account.all().weight_share(), rule_report.breaches.size()};
--- a/lab/swarm/swarm.cpp
+++ b/lab/swarm/swarm.cpp
@@ -171,8 +171,8 @@
                 std::vector<core::Output> again;
                 each_of<core::SendResponse>(
                     outputs, [&](const core::SendResponse& reply) { again.emplace_back(reply); });
-                each_of<core::StreamEnd>(outputs,
-                                         [&](const core::StreamEnd& end) { again.emplace_back(end); });
+                each_of<core::EndStream>(outputs,
+                                         [&](const core::EndStream& end) { again.emplace_back(end); });
                 for (auto& o : again) outputs.push_back(std::move(o));
             }};
 }
@@ -181,7 +181,7 @@
                 std::erase_if(inputs,
                               [](const auto& i) { return std::holds_alternative<core::CallSent>(i); });
                 each_of<core::CallFailed>(
-                    inputs, [](core::CallFailed& f) { f.ending = engine::Ending::dial_failed; });
+                    inputs, [](core::CallFailed& f) { f.ending = engine::ExchangeEnd::dial_failed; });
             },
             {}};
 }
--- a/lab/workload/client_workload.cpp
+++ b/lab/workload/client_workload.cpp
@@ -33,7 +33,7 @@
 }
 
 const RequestClassSettings& ClientWorkload::class_of(const Client& c) const {
-    const auto& classes = scenario_.edge.module.classes;
+    const auto& classes = scenario_.edge.router.classes;
     const auto& name = scenario_.traffic[c.cls].name;
     return *std::find_if(classes.begin(), classes.end(), [&](const auto& k) { return k.name == name; });
 }
@@ -131,9 +131,9 @@
     json::ObjectWriter body;
     body.text("model", t.model)
         .raw("messages", messages)
-        .whole("max_tokens", t.max_tokens)
+        .integer("max_tokens", t.max_tokens)
         .text("prompt_cache_key", c.session);
-    if (a.stream) body.flag("stream", true).raw("stream_options", R"({"include_usage":true})");
+    if (a.stream) body.boolean("stream", true).raw("stream_options", R"({"include_usage":true})");
     body.raw("an_unknown_field", R"({"kept": [1, 2.50]})");
     a.body = body.done();
     c.gateway += c.trying_again ? 1 : 0;  // another gateway, if there is one
--- a/src/base/backoff.hpp
+++ b/src/base/backoff.hpp
@@ -12,12 +12,12 @@
 public:
     Backoff(Duration minimum, Duration maximum) : minimum_(minimum), maximum_(maximum) {}
 
-    // The pause before the next attempt.
+    // Returns the pause before the next attempt.
     [[nodiscard]] Duration next() {
         pause_ = std::clamp(2 * pause_, minimum_, maximum_);
         return pause_;
     }
-    // After a success: the next pause is the minimum again.
+    // Restarts from the minimum pause, after a success.
     void reset() { pause_ = {}; }
 
 private:
--- a/src/base/json.hpp
+++ b/src/base/json.hpp
@@ -1,5 +1,5 @@
-// Small helpers over rapidjson. Parsing is iterative, so that nesting costs no stack, and checks the
-// encoding. No I/O, no threads. Malformed text is a false return.
+// Helpers for rapidjson. Parsing is iterative, so that deep nesting uses no stack, and validates the
+// encoding. No I/O, no threads. Parsing malformed text returns false.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -14,26 +14,26 @@
 using Value = rapidjson::Value;
 using Document = rapidjson::Document;
 
-// How all text is parsed.
+// The parse flags that parse() uses.
 inline constexpr unsigned kFlags = rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag;
 
-// False if the text is not one JSON value.
+// Parses exactly one JSON value. Returns false for other text.
 inline bool parse(std::string_view text, Document& out) {
     out.Parse<kFlags>(text.data(), text.size());
     return !out.HasParseError();
 }
-// The member of that name, or nullptr if there is none or `object` is no object. A null counts as absent.
+// Returns the member `name`, or nullptr if it is absent or null, or if `object` is not an object.
 inline const Value* find(const Value& object, const char* name) {
     if (!object.IsObject()) return nullptr;
     const auto it = object.FindMember(name);
     return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
 }
-// The text of a string. The second form: empty for anything else.
+// Returns the text of a string. The overload for pointers returns an empty text for any other value.
 inline std::string_view text(const Value& value) { return {value.GetString(), value.GetStringLength()}; }
 inline std::string_view text(const Value* value) {
     return value != nullptr && value->IsString() ? text(*value) : std::string_view{};
 }
-// The value as JSON without white space.
+// Serializes the value without white space.
 inline std::string dump(const Value& value) {
     rapidjson::StringBuffer buffer;
     rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
@@ -55,13 +55,12 @@
         out_.Double(value);
         return *this;
     }
-    // An integer.
-    ObjectWriter& whole(const char* name, std::int64_t value) {
+    ObjectWriter& integer(const char* name, std::int64_t value) {
         out_.Key(name);
         out_.Int64(value);
         return *this;
     }
-    ObjectWriter& flag(const char* name, bool value) {
+    ObjectWriter& boolean(const char* name, bool value) {
         out_.Key(name);
         out_.Bool(value);
         return *this;
@@ -71,13 +70,13 @@
         out_.Null();
         return *this;
     }
-    // A value that is JSON already.
+    // Adds a value that is already serialized as JSON.
     ObjectWriter& raw(const char* name, std::string_view value) {
         out_.Key(name);
         out_.RawValue(value.data(), value.size(), rapidjson::kObjectType);
         return *this;
     }
-    // The object. Call it once, at the end.
+    // Ends the object and returns it. Must be called once, as the last call.
     [[nodiscard]] std::string done() {
         out_.EndObject();
         return {buffer_.GetString(), buffer_.GetSize()};
--- a/src/base/units.hpp
+++ b/src/base/units.hpp
@@ -1,5 +1,5 @@
-// Durations, sizes and addresses as people write them ("250ms", "8MiB", "[::1]:80"). No I/O, no threads, no
-// state. Malformed text gives nullopt.
+// Parses and formats durations, sizes and addresses in human-readable notation ("250ms", "8MiB",
+// "[::1]:80"). No I/O, no threads, no state. Malformed text gives nullopt.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -10,23 +10,24 @@
 
 namespace chalksail {
 
-// "250us", "250ms", "1.5s", "2m", "1h"; nullopt for other text, negative times or ones over a year.
+// Parses "250us", "250ms", "1.5s", "2m", "1h"; nullopt for other text, negative durations or ones over a
+// year.
 [[nodiscard]] std::optional<Duration> parse_duration(std::string_view text);
-// "512", "512B", "64KiB", "8MiB", "1GiB"; nullopt for other text.
+// Parses "512", "512B", "64KiB", "8MiB", "1GiB" as bytes; nullopt for other text.
 [[nodiscard]] std::optional<std::uint64_t> parse_size(std::string_view text);
-// The shortest of the forms above that is exact to a microsecond.
+// Formats the duration in the shortest form of parse_duration() that is exact to a microsecond.
 [[nodiscard]] std::string format_duration(Duration duration);
 
-// An IP address and a port; parse_address() makes sure that the text is well formed.
+// An IP address and a port, as validated by parse_address().
 struct Address {
     std::string host;  // IPv4 or IPv6 literal, no brackets
     std::uint16_t port = 0;
-    // The linter takes the comparison that the compiler writes for a null pointer.
+    // The linter mistakes the compiler-generated comparison for a null pointer constant.
     friend auto operator<=>(const Address&, const Address&) = default;  // NOLINT(modernize-use-nullptr)
 };
-// "127.0.0.1:80", "[::1]:80"; nullopt for host names or other text.
+// Parses "127.0.0.1:80", "[::1]:80"; nullopt for host names or other text.
 [[nodiscard]] std::optional<Address> parse_address(std::string_view text);
-// The form that parse_address() reads.
+// Formats the address so that parse_address() can read it.
 [[nodiscard]] std::string format_address(const Address& address);
 
 }  // namespace chalksail
--- a/src/config/kdl/cursor.cpp
+++ b/src/config/kdl/cursor.cpp
@@ -7,7 +7,7 @@
 
 }  // namespace
 
-void fail(Place place, std::string text) { throw SyntaxError{{place, std::move(text)}}; }
+void fail(SourcePosition position, std::string text) { throw SyntaxError{{position, std::move(text)}}; }
 
 Cursor::Cursor(std::string_view text) : text_(text) {
     if (text_.starts_with(kByteOrderMark)) offset_ = kByteOrderMark.size();
@@ -38,10 +38,10 @@
     if (at_end()) return;
     const bool first_of_crlf = current_ == '\r' && peek(1) == '\n';
     if (is_newline(current_) && !first_of_crlf) {
-        place_.line += 1;
-        place_.column = 1;
+        position_.line += 1;
+        position_.column = 1;
     } else {
-        place_.column += 1;
+        position_.column += 1;
     }
     offset_ += width_;
     load();
@@ -72,7 +72,7 @@
 }
 
 void Cursor::skip_block_comment() {
-    const Place begin = place_;
+    const SourcePosition begin = position_;
     int depth = 0;
     do {
         if (at_end()) kdl::fail(begin, "comment without an end");
--- a/src/config/kdl/cursor.hpp
+++ b/src/config/kdl/cursor.hpp
@@ -15,7 +15,7 @@
 struct SyntaxError {
     Error error;
 };
-[[noreturn]] void fail(Place place, std::string text);
+[[noreturn]] void fail(SourcePosition position, std::string text);
 
 // Copying one saves the position. Throws SyntaxError at invalid or forbidden code points. The text must
 // outlive it.
@@ -26,7 +26,7 @@
     // The code point at this position, or kEndOfText.
     [[nodiscard]] char32_t current() const { return current_; }
     [[nodiscard]] bool at_end() const { return current_ == kEndOfText; }
-    [[nodiscard]] Place place() const { return place_; }
+    [[nodiscard]] SourcePosition position() const { return position_; }
     // Bytes from the beginning of the text.
     [[nodiscard]] std::size_t offset() const { return offset_; }
     // The byte `ahead` bytes from here, or kEndOfText.
@@ -48,7 +48,7 @@
     void skip_line_comment();
 
     // Throws SyntaxError for this position.
-    [[noreturn]] void fail(std::string text) const { kdl::fail(place_, std::move(text)); }
+    [[noreturn]] void fail(std::string text) const { kdl::fail(position_, std::move(text)); }
 
 private:
     void load();
@@ -59,7 +59,7 @@
     std::size_t offset_ = 0;
     std::size_t width_ = 0;  // bytes of the current code point
     char32_t current_ = kEndOfText;
-    Place place_;
+    SourcePosition position_;
 };
 
 }  // namespace chalksail::kdl
--- a/src/config/kdl/kdl.hpp
+++ b/src/config/kdl/kdl.hpp
@@ -21,13 +21,13 @@
 inline constexpr int kMaxDepth = 64;
 
 // A position in a text: line and column from 1, columns in code points.
-struct Place {
+struct SourcePosition {
     std::size_t line = 1;
     std::size_t column = 1;
 };
 
 struct Error {
-    Place place;
+    SourcePosition position;
     std::string text;  // without the place
 };
 
@@ -41,13 +41,13 @@
 struct Value {
     Scalar scalar;
     std::optional<std::string> type;  // the annotation, as in (ms)250
-    Place place;
+    SourcePosition position;
 };
 
 struct Property {
     std::string name;
     Value value;
-    Place place;
+    SourcePosition position;
 };
 
 // `name argument... property=value... { children }`
@@ -57,7 +57,7 @@
     std::vector<Value> arguments;
     std::vector<Property> properties;  // the last of a name wins, as KDL says; earlier ones are dropped
     std::vector<Node> children;
-    Place place;
+    SourcePosition position;
     // The bytes between the braces of the children, as offsets into the text; equal if there are none.
     std::size_t children_begin = 0;
     std::size_t children_end = 0;
--- a/src/config/kdl/parser.cpp
+++ b/src/config/kdl/parser.cpp
@@ -31,7 +31,7 @@
 
 Node Parser::node(int depth) {
     Node node;
-    node.place = cursor_.place();
+    node.position = cursor_.position();
     node.type = annotation();
     if (at_number()) cursor_.fail("a node's name can't be a number");
     node.name = parse_string(cursor_, "a node's name");
@@ -68,7 +68,7 @@
 
 // Parses an argument or a property.
 void Parser::entry(Node& node, bool commented_out) {
-    const Place place = cursor_.place();
+    const SourcePosition position = cursor_.position();
     const bool annotated = cursor_.current() == '(';
     Value first = value();
     const bool may_be_name = !annotated && std::holds_alternative<std::string>(first.scalar);
@@ -81,7 +81,7 @@
     }
     cursor_.next();
     cursor_.skip_node_space();
-    Property property{std::get<std::string>(first.scalar), value(), place};
+    Property property{std::get<std::string>(first.scalar), value(), position};
     if (commented_out) return;
     std::erase_if(node.properties, [&](const Property& old) { return old.name == property.name; });
     node.properties.push_back(std::move(property));
@@ -99,7 +99,7 @@
 
 Value Parser::value() {
     Value value;
-    value.place = cursor_.place();
+    value.position = cursor_.position();
     value.type = annotation();
     value.scalar = scalar();
     const char32_t c = cursor_.current();
@@ -117,7 +117,7 @@
 }
 
 Scalar Parser::keyword() {
-    const Place place = cursor_.place();
+    const SourcePosition position = cursor_.position();
     cursor_.next();  // '#'
     const std::string word = cursor_.take_identifier();
     if (word == "true") return true;
@@ -126,14 +126,14 @@
     if (word == "inf") return std::numeric_limits<double>::infinity();
     if (word == "-inf") return -std::numeric_limits<double>::infinity();
     if (word == "nan") return std::numeric_limits<double>::quiet_NaN();
-    fail(place, "unknown keyword '#" + word + "'");
+    fail(position, "unknown keyword '#" + word + "'");
 }
 
 Scalar Parser::number() {
-    const Place place = cursor_.place();
+    const SourcePosition position = cursor_.position();
     const std::string text = cursor_.take_identifier();
     auto number = parse_number(text);
-    if (!number) fail(place, "'" + text + "' " + describe(number.error()));
+    if (!number) fail(position, "'" + text + "' " + describe(number.error()));
     return std::move(*number);
 }
 
--- a/src/config/kdl/strings.cpp
+++ b/src/config/kdl/strings.cpp
@@ -10,7 +10,7 @@
 constexpr int kMaxEscapeDigits = 6;
 
 // Parses \u{...}, from behind the u. `begin`: of the escape.
-char32_t unicode_escape(Cursor& cursor, Place begin) {
+char32_t unicode_escape(Cursor& cursor, SourcePosition begin) {
     if (cursor.current() != '{') cursor.fail("'{' wanted after \\u");
     cursor.next();
     char32_t code_point = 0;
@@ -36,7 +36,7 @@
         while (is_space(cursor.current()) || is_newline(cursor.current())) cursor.next();
         return;
     }
-    const Place begin = cursor.place();
+    const SourcePosition begin = cursor.position();
     const char32_t c = cursor.current();
     cursor.next();
     switch (c) {
@@ -54,14 +54,14 @@
 }
 
 // Fails at the end of the text or of the line, for strings that must end before.
-void expect_string_char(const Cursor& cursor, Place begin) {
+void expect_string_char(const Cursor& cursor, SourcePosition begin) {
     if (cursor.at_end()) fail(begin, "string without an end");
     if (is_newline(cursor.current()))
         cursor.fail("a line ends inside a string (\"\"\" starts one of several lines)");
 }
 
 std::string quoted_string(Cursor& cursor) {
-    const Place begin = cursor.place();
+    const SourcePosition begin = cursor.position();
     cursor.next();
     std::string out;
     while (cursor.current() != '"') {
@@ -82,20 +82,20 @@
     std::string text;    // escapes resolved, with its indentation
     std::string indent;  // literal white space at its beginning
     bool blank = true;   // nothing but literal white space
-    Place place;
+    SourcePosition position;
 };
 
 // Reads the lines up to the closing quotes and moves behind these.
-std::vector<Line> read_lines(Cursor& cursor, Place begin, std::size_t hashes) {
+std::vector<Line> read_lines(Cursor& cursor, SourcePosition begin, std::size_t hashes) {
     const std::string close = std::string(kMultiLineQuote) + std::string(hashes, '#');
     std::vector<Line> lines(1);
-    lines.back().place = cursor.place();
+    lines.back().position = cursor.position();
     while (!cursor.take(close)) {
         if (cursor.at_end()) fail(begin, "string without an end");
         Line& line = lines.back();
         if (is_newline(cursor.current())) {
             cursor.take_newline();
-            lines.emplace_back().place = cursor.place();
+            lines.emplace_back().position = cursor.position();
         } else if (cursor.current() == '\\' && hashes == 0) {
             line.blank = false;
             escape(cursor, line.text);
@@ -111,27 +111,27 @@
 
 // The white space before the closing quotes is removed from every line.
 std::string multi_line_string(Cursor& cursor, std::size_t hashes) {
-    const Place begin = cursor.place();
+    const SourcePosition begin = cursor.position();
     cursor.take(kMultiLineQuote);
     if (!is_newline(cursor.current())) cursor.fail("after \"\"\" a new line must begin");
     cursor.take_newline();
     std::vector<Line> lines = read_lines(cursor, begin, hashes);
     const Line last = std::move(lines.back());
     lines.pop_back();
-    if (!last.blank) fail(last.place, "the closing \"\"\" must stand on a line of its own");
+    if (!last.blank) fail(last.position, "the closing \"\"\" must stand on a line of its own");
     std::string out;
     for (std::size_t i = 0; i < lines.size(); ++i) {
         if (i > 0) out += '\n';
         if (lines[i].blank) continue;
         if (!lines[i].indent.starts_with(last.indent))
-            fail(lines[i].place, "this line is indented less than the closing \"\"\"");
+            fail(lines[i].position, "this line is indented less than the closing \"\"\"");
         out += lines[i].text.substr(last.indent.size());
     }
     return out;
 }
 
 std::string raw_string(Cursor& cursor) {
-    const Place begin = cursor.place();
+    const SourcePosition begin = cursor.position();
     std::size_t hashes = 0;
     while (cursor.current() == '#') {
         ++hashes;
@@ -158,7 +158,7 @@
 }
 
 std::string identifier_string(Cursor& cursor, const char* wanted) {
-    const Place begin = cursor.place();
+    const SourcePosition begin = cursor.position();
     std::string identifier = cursor.take_identifier();
     if (identifier.empty()) fail(begin, std::string(wanted) + " wanted");
     if (resembles_number(identifier))
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -53,7 +53,7 @@
     return text == nullptr ? std::nullopt : parse_duration(*text);
 }
 
-std::string whole_range(std::int64_t least, std::int64_t most) {
+std::string integer_range(std::int64_t least, std::int64_t most) {
     return range(static_cast<double>(least), static_cast<double>(most));
 }
 
@@ -65,7 +65,8 @@
 }  // namespace
 
 std::string format(const Problem& p) {
-    return p.file + ":" + std::to_string(p.place.line) + ":" + std::to_string(p.place.column) + ": " + p.text;
+    return p.file + ":" + std::to_string(p.position.line) + ":" + std::to_string(p.position.column) + ": " +
+           p.text;
 }
 
 std::string nearest(std::string_view wrong, const std::set<std::string>& known) {
@@ -84,18 +85,20 @@
     return near.empty() ? "" : "; did you mean '" + near + "'?";
 }
 
-Block::Block(const std::vector<kdl::Node>& nodes, kdl::Place place, std::string where, Problems& problems)
-    : nodes_(nodes), place_(place), where_(std::move(where)), problems_(problems) {}
+Block::Block(const std::vector<kdl::Node>& nodes, kdl::SourcePosition position, std::string where,
+             Problems& problems)
+    : nodes_(nodes), position_(position), where_(std::move(where)), problems_(problems) {}
 
 const kdl::Node* Block::only(const char* name, Need need) {
     known_.insert(name);
     const kdl::Node* found = nullptr;
     for (const auto& n : nodes_) {
         if (n.name != name) continue;
-        if (found != nullptr) problems_.add(n.place, "'" + n.name + "' is given twice");
+        if (found != nullptr) problems_.add(n.position, "'" + n.name + "' is given twice");
         found = &n;
     }
-    if (found == nullptr && need == Need::required) problems_.add(place_, where_ + " needs '" + name + "'");
+    if (found == nullptr && need == Need::required)
+        problems_.add(position_, where_ + " needs '" + name + "'");
     return found;
 }
 
@@ -103,14 +106,14 @@
     const kdl::Node* node = only(name, need);
     if (node == nullptr) return nullptr;
     if (node->arguments.size() != 1 || !node->properties.empty() || !node->children.empty()) {
-        problems_.add(node->place, "'" + node->name + "' wants exactly one value");
+        problems_.add(node->position, "'" + node->name + "' wants exactly one value");
         return nullptr;
     }
     return &node->arguments.front();
 }
 
 void Block::wrong(const kdl::Value& value, const char* name, const std::string& wanted) {
-    problems_.add(value.place, std::string("'") + name + "' wants " + wanted);
+    problems_.add(value.position, std::string("'") + name + "' wants " + wanted);
 }
 
 bool Block::text(const char* name, std::string& out, Need need) {
@@ -122,7 +125,7 @@
     return true;
 }
 
-bool Block::flag(const char* name, bool& out) {
+bool Block::boolean(const char* name, bool& out) {
     const auto* found = value(name, Need::optional);
     if (found == nullptr) return false;
     const auto* flag = std::get_if<bool>(&found->scalar);
@@ -150,11 +153,11 @@
     return true;
 }
 
-bool Block::whole(const char* name, std::int64_t& out, std::int64_t least, std::int64_t most, Need need) {
+bool Block::integer(const char* name, std::int64_t& out, std::int64_t least, std::int64_t most, Need need) {
     const auto* found = value(name, need);
     if (found == nullptr) return false;
     const auto number = whole_within(found->scalar, least, most);
-    if (!number) return wrong(*found, name, "a whole number" + whole_range(least, most)), false;
+    if (!number) return wrong(*found, name, "a whole number" + integer_range(least, most)), false;
     out = *number;
     return true;
 }
@@ -199,10 +202,10 @@
     const kdl::Node* node = only(name, Need::optional);
     if (node == nullptr) return false;
     if (!node->properties.empty() || !node->children.empty())
-        problems_.add(node->place, "'" + node->name + "' wants values only");
+        problems_.add(node->position, "'" + node->name + "' wants values only");
     for (const auto& v : node->arguments) {
         if (const auto number = whole_within(v.scalar, least, most)) out.push_back(static_cast<int>(*number));
-        else wrong(v, name, "whole numbers" + whole_range(least, most));
+        else wrong(v, name, "whole numbers" + integer_range(least, most));
     }
     return true;
 }
@@ -213,8 +216,8 @@
         if (n.name != name) continue;
         const bool texts = std::all_of(n.arguments.begin(), n.arguments.end(), is_nonempty_text);
         if (n.arguments.size() != arguments || !texts) {
-            problems_.add(n.place, std::string("'") + name + "' wants " + std::to_string(arguments) +
-                                       (arguments == 1 ? " name" : " names"));
+            problems_.add(n.position, std::string("'") + name + "' wants " + std::to_string(arguments) +
+                                          (arguments == 1 ? " name" : " names"));
             continue;
         }
         read(n);
@@ -224,7 +227,7 @@
 void Block::done() {
     for (const auto& n : nodes_)
         if (!known_.contains(n.name))
-            problems_.add(n.place,
+            problems_.add(n.position,
                           "unknown setting '" + n.name + "' in " + where_ + did_you_mean(n.name, known_));
 }
 
@@ -233,10 +236,10 @@
     : node_(node), problems_(problems) {
     for (const auto& p : node.properties)
         if (!known.contains(p.name))
-            problems.add(p.place,
+            problems.add(p.position,
                          "'" + node.name + "' has no '" + p.name + "'" + did_you_mean(p.name, known));
     if (node.arguments.size() > arguments)
-        problems.add(node.arguments[arguments].place, "'" + node.name + "' wants no more values");
+        problems.add(node.arguments[arguments].position, "'" + node.name + "' wants no more values");
 }
 
 const kdl::Property* Properties::find(const char* name) const {
@@ -250,7 +253,7 @@
     const auto* property = find(name);
     if (property == nullptr) return {};
     if (const auto* text = std::get_if<std::string>(&property->value.scalar)) return *text;
-    problems_.add(property->place, "'" + property->name + "' wants a string");
+    problems_.add(property->position, "'" + property->name + "' wants a string");
     return {};
 }
 
@@ -259,19 +262,19 @@
     if (property == nullptr) return false;
     const auto parsed = as_duration(property->value.scalar);
     if (!parsed)
-        return problems_.add(property->place, "'" + property->name + "' wants a time such as \"250ms\""),
+        return problems_.add(property->position, "'" + property->name + "' wants a time such as \"250ms\""),
                false;
     out = *parsed;
     return true;
 }
 
-bool Properties::whole(const char* name, std::int64_t& out, std::int64_t least, std::int64_t most) const {
+bool Properties::integer(const char* name, std::int64_t& out, std::int64_t least, std::int64_t most) const {
     const auto* property = find(name);
     if (property == nullptr) return false;
     const auto number = whole_within(property->value.scalar, least, most);
     if (!number) {
-        problems_.add(property->place,
-                      "'" + property->name + "' wants a whole number" + whole_range(least, most));
+        problems_.add(property->position,
+                      "'" + property->name + "' wants a whole number" + integer_range(least, most));
         return false;
     }
     out = *number;
@@ -283,7 +286,7 @@
     if (property == nullptr) return false;
     const auto number = real_within(property->value.scalar, least, most);
     if (!number) {
-        problems_.add(property->place, "'" + property->name + "' wants a number" + range(least, most));
+        problems_.add(property->position, "'" + property->name + "' wants a number" + range(least, most));
         return false;
     }
     out = *number;
--- a/src/config/schema.hpp
+++ b/src/config/schema.hpp
@@ -18,7 +18,7 @@
 // One error in a settings file.
 struct Problem {
     std::string file;
-    kdl::Place place;
+    kdl::SourcePosition position;
     std::string text;
 };
 // "file:line:column: text"
@@ -28,7 +28,9 @@
 class Problems {
 public:
     explicit Problems(std::string file) : file_(std::move(file)) {}
-    void add(kdl::Place place, std::string text) { all_.push_back({file_, place, std::move(text)}); }
+    void add(kdl::SourcePosition position, std::string text) {
+        all_.push_back({file_, position, std::move(text)});
+    }
     [[nodiscard]] const std::vector<Problem>& all() const { return all_; }
 
 private:
@@ -51,15 +53,16 @@
 class Block {
 public:
     // `where`: names the block in problems. `nodes` and `problems` must outlive the block.
-    Block(const std::vector<kdl::Node>& nodes, kdl::Place place, std::string where, Problems& problems);
+    Block(const std::vector<kdl::Node>& nodes, kdl::SourcePosition position, std::string where,
+          Problems& problems);
 
     // A setting with exactly one value: `name value`.
     bool text(const char* name, std::string& out, Need need = Need::optional);
-    bool flag(const char* name, bool& out);
+    bool boolean(const char* name, bool& out);
     bool duration(const char* name, Duration& out, Need need = Need::optional);
     bool size(const char* name, std::size_t& out);
-    bool whole(const char* name, std::int64_t& out, std::int64_t least, std::int64_t most,
-               Need need = Need::optional);
+    bool integer(const char* name, std::int64_t& out, std::int64_t least, std::int64_t most,
+                 Need need = Need::optional);
     bool real(const char* name, double& out, double least, double most, Need need = Need::optional);
     bool address(const char* name, Address& out, Need need = Need::optional);
     // A setting with one of these words; `out` is the word's place among them.
@@ -70,9 +73,9 @@
     requires std::is_enum_v<Enum>
     bool word(const char* name, const std::vector<std::string>& words, Enum& out,
               Need need = Need::optional) {
-        std::size_t place = 0;
-        if (!word(name, words, place, need)) return false;
-        out = static_cast<Enum>(place);
+        std::size_t position = 0;
+        if (!word(name, words, position, need)) return false;
+        out = static_cast<Enum>(position);
         return true;
     }
     // A setting with any number of whole numbers.
@@ -89,7 +92,7 @@
     void wrong(const kdl::Value& value, const char* name, const std::string& wanted);
 
     const std::vector<kdl::Node>& nodes_;
-    kdl::Place place_;
+    kdl::SourcePosition position_;
     std::string where_;
     Problems& problems_;
     std::set<std::string> known_;
@@ -104,7 +107,7 @@
     [[nodiscard]] std::string text(const char* name) const;
     [[nodiscard]] bool has(const char* name) const;
     bool duration(const char* name, Duration& out) const;
-    bool whole(const char* name, std::int64_t& out, std::int64_t least, std::int64_t most) const;
+    bool integer(const char* name, std::int64_t& out, std::int64_t least, std::int64_t most) const;
     bool real(const char* name, double& out, double least, double most) const;
 
 private:
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -24,8 +24,8 @@
         once(top, "limits", [&](Block& block) { read_limits(block); });
         once(top, "cache-events", [&](Block& block) { read_cache_events(block); });
         once(top, "costs", [&](Block& block) {
-            block.real("far", out_.module.cross_cell_cost, 0, 1e6);
-            block.real("cross-zone", out_.module.cross_zone_cost, 0, 1e6);
+            block.real("far", out_.router.cross_cell_cost, 0, 1e6);
+            block.real("cross-zone", out_.router.cross_zone_cost, 0, 1e6);
         });
         top.each("class", 1, [&](const kdl::Node& node) { read_class(node); });
         top.each("kind", 1, [&](const kdl::Node& node) { read_kind(node); });
@@ -39,7 +39,7 @@
 
 private:
     void set_defaults() {
-        Settings& router = out_.module;
+        Settings& router = out_.router;
         router.tick = std::chrono::milliseconds(4);
         router.answer_slack = std::chrono::milliseconds(16);
         router.release_within = std::chrono::milliseconds(300);
@@ -62,10 +62,10 @@
     void once(Block& top, const char* name, Read read) {
         bool seen = false;
         top.each(name, 0, [&](const kdl::Node& node) {
-            if (seen) problems_.add(node.place, std::string("'") + name + "' is given twice");
+            if (seen) problems_.add(node.position, std::string("'") + name + "' is given twice");
             seen = true;
             Properties(node, {}, 0, problems_);
-            Block block(node.children, node.place, std::string("'") + name + "'", problems_);
+            Block block(node.children, node.position, std::string("'") + name + "'", problems_);
             read(block);
             block.done();
         });
@@ -76,21 +76,21 @@
     std::string unique_name(const char* what, const kdl::Node& node, std::set<std::string>& names) {
         const std::string name = name_of(node);
         std::string described = std::string(what) + " '" + name + "'";
-        if (!names.insert(name).second) problems_.add(node.place, described + " is given twice");
+        if (!names.insert(name).second) problems_.add(node.position, described + " is given twice");
         return described;
     }
 
     void read_general(Block& top) {
         top.text("name", out_.name);
-        top.text("zone", out_.module.zone);
+        top.text("zone", out_.router.zone);
         std::int64_t seed = 0;
-        if (top.whole("seed", seed, 0, INT64_MAX)) out_.seed = static_cast<std::uint64_t>(seed);
+        if (top.integer("seed", seed, 0, INT64_MAX)) out_.seed = static_cast<std::uint64_t>(seed);
         top.address("listen", out_.listen);
         top.address("admin", *out_.admin);
         top.text("session-header", out_.session_header);
-        top.flag("require-key", out_.require_key);
+        top.boolean("require-key", out_.require_key);
         top.real("tokens-per-byte", out_.tokens_per_byte, 0.01, 10);
-        top.word("load", {"none", "headers", "metrics"}, out_.load);
+        top.word("load", {"none", "headers", "metrics"}, out_.load_source);
         static const std::vector<std::string> levels = {"debug", "info", "warn", "error"};
         std::size_t level = 0;
         if (top.word("log-level", levels, level)) out_.log_level = levels[level];
@@ -106,33 +106,33 @@
         block.text("tokenizer", events.tokenizer);
         block.text("prompt-begin", events.prompt_begin);
         block.text("prompt-message", events.prompt_message);
-        block.whole("blocks-per-server", events.blocks_per_server, 1, 100'000'000);
-        block.whole("held-batches", events.held_batches, 1, 1'000'000);
-        block.whole("queue", events.queue, 1, 1'000'000);
+        block.integer("blocks-per-server", events.blocks_per_server, 1, 100'000'000);
+        block.integer("held-batches", events.max_buffered_batches, 1, 1'000'000);
+        block.integer("queue", events.max_queued_messages, 1, 1'000'000);
         block.size("message", events.message_bytes);
         block.duration("replay-timeout", events.replay_timeout);
-        block.whole("turn-messages", events.turn_messages, 1, 1'000'000);
+        block.integer("turn-messages", events.turn_messages, 1, 1'000'000);
         block.size("turn-bytes", events.turn_bytes);
-        block.duration("reconnect-least", events.reconnect_least);
-        block.duration("reconnect-most", events.reconnect_most);
-        block.text("snapshots", events.snapshots);
-        block.duration("snapshot-every", events.snapshot_every);
-        block.size("snapshots-bytes", events.snapshots_bytes);
+        block.duration("reconnect-least", events.reconnect_min);
+        block.duration("reconnect-most", events.reconnect_max);
+        block.text("snapshots", events.snapshot_folder);
+        block.duration("snapshot-every", events.snapshot_interval);
+        block.size("snapshots-bytes", events.snapshot_folder_bytes);
     }
 
     void read_gateways(Block& block) {
         std::int64_t count = 1;
         std::int64_t number = 0;
-        block.whole("count", count, 1, 100'000);
-        block.whole("number", number, 0, count - 1);
-        out_.module.gateways = static_cast<int>(count);
-        out_.module.gateway = static_cast<int>(number);
+        block.integer("count", count, 1, 100'000);
+        block.integer("number", number, 0, count - 1);
+        out_.router.gateways = static_cast<int>(count);
+        out_.router.gateway = static_cast<int>(number);
     }
 
     void read_rules(Block& block) {
-        Settings& router = out_.module;
+        Settings& router = out_.router;
         std::int64_t attempts = router.max_attempts;
-        block.whole("max-attempts", attempts, 1, 16);
+        block.integer("max-attempts", attempts, 1, 16);
         router.max_attempts = static_cast<int>(attempts);
         block.duration("tick", router.tick);
         block.duration("answer-slack", router.answer_slack);
@@ -144,49 +144,49 @@
         block.duration("dial-timeout", router.dial_timeout);
         block.duration("max-retry-after", router.max_retry_after);
         block.real("over-share-worth", router.over_quota_weight_factor, 0, 1);
-        block.flag("cancel", router.cancellation_enabled);
-        block.flag("probes", router.health_checks_enabled);
-        block.flag("worth-by-work", router.weigh_by_work);
-        block.flag("read-in-place", router.prefill_on_decode_enabled);
+        block.boolean("cancel", router.cancellation_enabled);
+        block.boolean("probes", router.health_checks_enabled);
+        block.boolean("worth-by-work", router.weigh_by_work);
+        block.boolean("read-in-place", router.prefill_on_decode_enabled);
     }
 
     void read_limits(Block& block) {
         EdgeLimits& limits = out_.limits;
         block.size("head", limits.head_bytes);
         block.size("body", limits.body_bytes);
-        block.whole("connections", limits.connections, 1, 1'000'000);
-        block.whole("open-requests", limits.open_requests, 1, 1'000'000);
-        block.whole("connections-per-server", limits.per_server, 1, 100'000);
-        block.whole("dial-queue", limits.dial_queue, 0, 1'000'000);
-        block.size("stream-buffer", limits.stream_buffer);
+        block.integer("connections", limits.client_connections, 1, 1'000'000);
+        block.integer("open-requests", limits.open_requests, 1, 1'000'000);
+        block.integer("connections-per-server", limits.connections_per_server, 1, 100'000);
+        block.integer("dial-queue", limits.dial_queue, 0, 1'000'000);
+        block.size("stream-buffer", limits.stream_buffer_bytes);
         block.size("event", limits.event_bytes);
-        block.size("answer", limits.answer_bytes);
+        block.size("answer", limits.response_bytes);
         block.size("pipelined", limits.pipelined_bytes);
         block.size("discarded", limits.discarded_bytes);
         block.duration("head-timeout", limits.head_timeout);
         block.duration("body-timeout", limits.body_timeout);
         block.duration("idle-timeout", limits.idle_timeout);
-        block.duration("idle-pressed", limits.idle_pressed);
+        block.duration("idle-pressed", limits.idle_timeout_under_pressure);
         block.duration("first-timeout", limits.first_timeout);
-        block.duration("request-idle", limits.request_idle);
+        block.duration("request-idle", limits.request_idle_timeout);
         block.duration("linger", limits.linger);
         block.size("request-bytes", limits.request_bytes);
         block.size("unfinished-bytes", limits.unfinished_bytes);
-        block.whole("server-connections", limits.server_connections, 0, 1'000'000);
+        block.integer("server-connections", limits.server_connections, 0, 1'000'000);
         block.duration("server-rest", limits.server_preferred_idle);
         block.duration("stall-timeout", limits.stall_timeout);
-        block.duration("stream-idle", limits.stream_idle);
-        block.duration("stream-longest", limits.stream_longest);
-        block.duration("server-idle", limits.server_idle);
-        block.duration("drain", limits.drain);
+        block.duration("stream-idle", limits.stream_idle_timeout);
+        block.duration("stream-longest", limits.max_stream_duration);
+        block.duration("server-idle", limits.server_idle_timeout);
+        block.duration("drain", limits.drain_timeout);
         block.duration("call-timeout", limits.release_timeout);
         block.duration("cancel-wait", limits.cancel_wait);
-        block.whole("handshakes", limits.handshakes, 1, 1'000'000);
-        block.whole("handshakes-per-server", limits.handshakes_per_server, 1, 100'000);
+        block.integer("handshakes", limits.handshakes, 1, 1'000'000);
+        block.integer("handshakes-per-server", limits.handshakes_per_server, 1, 100'000);
         block.duration("unverified-pause", limits.unverified_backoff);
         block.duration("unverified-longest", limits.unverified_backoff_max);
         block.duration("tls-look", limits.tls_poll_interval);
-        block.whole("admin-connections", limits.admin_connections, 1, 100'000);
+        block.integer("admin-connections", limits.admin_connections, 1, 100'000);
         if (limits.unverified_backoff <= Duration::zero() ||
             limits.unverified_backoff_max < limits.unverified_backoff)
             problems_.add({}, "'unverified-pause' must be above 0, and 'unverified-longest' no shorter");
@@ -200,7 +200,7 @@
         ClassConfig config;
         settings.name = config.name = name_of(node);
         const std::string described = unique_name("class", node, class_names_);
-        Block block(node.children, node.place, described, problems_);
+        Block block(node.children, node.position, described, problems_);
         settings.inter_token_objective = std::chrono::milliseconds(60);
         settings.deduplication_window = std::chrono::seconds(5);
         block.duration("aim", settings.first_token_objective, kRequired);
@@ -212,13 +212,13 @@
         block.word("effect", {"repeatable", "by-key", "once"}, settings.idempotency);
         block.word("group", {"all", "zone", "cell"}, settings.deduplication_scope);
         block.duration("window", settings.deduplication_window);
-        block.flag("deadline-header", config.deadline_header);
+        block.boolean("deadline-header", config.deadline_header);
         block.each("when", 0, [&](const kdl::Node& when) { config.rules.push_back(read_class_rule(when)); });
         block.done();
         if (settings.first_token_objective <= Duration::zero() ||
             settings.deadline < settings.first_token_objective)
-            problems_.add(node.place, described + ": the aim must be above 0 and within the deadline");
-        out_.module.classes.push_back(std::move(settings));
+            problems_.add(node.position, described + ": the aim must be above 0 and within the deadline");
+        out_.router.classes.push_back(std::move(settings));
         out_.classes.push_back(std::move(config));
     }
 
@@ -227,8 +227,9 @@
         ClassRule rule{properties.text("model"), properties.text("path"), properties.text("header"),
                        properties.text("is")};
         if (rule.model.empty() && rule.path.empty() && rule.header.empty())
-            problems_.add(when.place, "'when' wants a model, a path or a header");
-        if (!rule.is.empty() && rule.header.empty()) problems_.add(when.place, "'is' goes with a header");
+            problems_.add(when.position, "'when' wants a model, a path or a header");
+        if (!rule.header_value.empty() && rule.header.empty())
+            problems_.add(when.position, "'is' goes with a header");
         return rule;
     }
 
@@ -243,35 +244,35 @@
 
     void read_server_tls(const kdl::Node& node, std::optional<TlsConfig>& out) {
         TlsConfig tls;
-        Block block(node.children, node.place, "'tls'", problems_);
+        Block block(node.children, node.position, "'tls'", problems_);
         block.text("name", tls.name, kRequired);
-        block.text("trust", tls.trust, kRequired);
+        block.text("trust", tls.trusted_cas, kRequired);
         block.text("revocation", tls.revocation);
         block.text("certificate", tls.certificate);
         block.text("key", tls.key);
         block.done();
         if (tls.certificate.empty() != tls.key.empty())
-            problems_.add(node.place, "'tls' wants both 'certificate' and 'key', or neither");
+            problems_.add(node.position, "'tls' wants both 'certificate' and 'key', or neither");
         if (tls.name.empty() || tls.name.front() == '.')
-            problems_.add(node.place, "'name' must be a host name or an address, or hold {name}");
-        if (out) problems_.add(node.place, "'tls' is given twice");
+            problems_.add(node.position, "'name' must be a host name or an address, or hold {name}");
+        if (out) problems_.add(node.position, "'tls' is given twice");
         out = std::move(tls);
     }
 
     void read_listener_tls(const kdl::Node& node) {
-        if (out_.listener_tls) problems_.add(node.place, "'listener-tls' is given twice");
+        if (out_.listener_tls) problems_.add(node.position, "'listener-tls' is given twice");
         ListenerTls tls;
-        Block block(node.children, node.place, "'listener-tls'", problems_);
+        Block block(node.children, node.position, "'listener-tls'", problems_);
         block.each("certificate", 1, [&](const kdl::Node& certificate) {
             const Properties properties(certificate, {"key"}, 1, problems_);
-            ListenerTls::Pair pair{std::get<std::string>(certificate.arguments.front().scalar),
-                                   properties.text("key")};
-            if (pair.key.empty()) problems_.add(certificate.place, "'certificate' wants key=");
+            ListenerTls::CertificateFiles pair{std::get<std::string>(certificate.arguments.front().scalar),
+                                               properties.text("key")};
+            if (pair.key.empty()) problems_.add(certificate.position, "'certificate' wants key=");
             tls.certificates.push_back(std::move(pair));
         });
-        block.text("clients", tls.clients);
+        block.text("clients", tls.client_cas);
         block.done();
-        if (tls.certificates.empty()) problems_.add(node.place, "'listener-tls' wants a 'certificate'");
+        if (tls.certificates.empty()) problems_.add(node.position, "'listener-tls' wants a 'certificate'");
         out_.listener_tls = std::move(tls);
     }
 
@@ -280,15 +281,15 @@
         ServerKindSettings settings;
         KindConfig config;
         settings.name = config.name = name_of(node);
-        Block block(node.children, node.place, unique_name("kind", node, kind_names_), problems_);
+        Block block(node.children, node.position, unique_name("kind", node, kind_names_), problems_);
         block.word("role", {"prefill", "decode", "mixed"}, settings.role, kRequired);
         block.real("memory-tokens", settings.memory_tokens, 0, 1e12);
         block.wholes("not-run-status", config.not_run_statuses, 400, 599);
-        block.flag("release", config.release);
-        block.flag("cache-events", config.cache_events);
+        block.boolean("release", config.release);
+        block.boolean("cache-events", config.cache_events);
         block.each("tls", 0, [&](const kdl::Node& tls) { read_server_tls(tls, config.tls); });
         block.done();
-        out_.module.kinds.push_back(std::move(settings));
+        out_.router.kinds.push_back(std::move(settings));
         out_.kinds.push_back(std::move(config));
     }
 
@@ -297,14 +298,14 @@
         TenantSettings settings;
         TenantConfig config;
         settings.name = config.name = name_of(node);
-        Block block(node.children, node.place, unique_name("tenant", node, tenant_names_), problems_);
+        Block block(node.children, node.position, unique_name("tenant", node, tenant_names_), problems_);
         block.real("quota-per-second", settings.quota_per_s, 0, 1e9, kRequired);
         block.each("key", 1, [&](const kdl::Node& key) {
-            if (!keys_.insert(name_of(key)).second) problems_.add(key.place, "this key is given twice");
+            if (!keys_.insert(name_of(key)).second) problems_.add(key.position, "this key is given twice");
             config.keys.push_back(name_of(key));
         });
         block.done();
-        out_.module.tenants.push_back(std::move(settings));
+        out_.router.tenants.push_back(std::move(settings));
         out_.tenants.push_back(std::move(config));
     }
 
@@ -315,34 +316,35 @@
         server.name = name_of(node);
         server.kind = properties.text("kind");
         server.zone = properties.text("zone");
-        properties.whole("cell", server.cell, 0, 1'000'000);
+        properties.integer("cell", server.cell, 0, 1'000'000);
         properties.real("weight", server.weight, 0, 1e6);
         const auto address = parse_address(properties.text("address"));
         if (!address || address->port == 0)
-            problems_.add(node.place, "server '" + server.name + "' needs address=\"IP:PORT\"");
+            problems_.add(node.position, "server '" + server.name + "' needs address=\"IP:PORT\"");
         else server.address = *address;
-        for (const auto& [name, place] :
+        for (const auto& [name, position] :
              {std::pair{"events", &server.events}, std::pair{"replay", &server.replay}}) {
             const auto text = properties.text(name);
             if (text.empty()) continue;
-            *place = parse_address(text);
-            if (!*place || (*place)->port == 0)
-                problems_.add(node.place, "server '" + server.name + "': " + name + "= must be \"IP:PORT\"");
+            *position = parse_address(text);
+            if (!*position || (*position)->port == 0)
+                problems_.add(node.position,
+                              "server '" + server.name + "': " + name + "= must be \"IP:PORT\"");
         }
         unique_name("server", node, server_names_);
-        if (!node.children.empty()) problems_.add(node.place, "'server' has no children");
-        kinds_used_.emplace_back(node.place, server.kind);
+        if (!node.children.empty()) problems_.add(node.position, "'server' has no children");
+        kinds_used_.emplace_back(node.position, server.kind);
         out_.servers.push_back(std::move(server));
     }
 
     // Checks what concerns several settings.
     void check() {
-        Settings& router = out_.module;
+        Settings& router = out_.router;
         if (router.classes.empty()) problems_.add({}, "the settings need a 'class'");
         if (router.kinds.empty()) problems_.add({}, "the settings need a 'kind'");
-        for (const auto& [place, kind] : kinds_used_)
+        for (const auto& [position, kind] : kinds_used_)
             if (!kind_names_.contains(kind))
-                problems_.add(place, "unknown kind '" + kind + "'" + did_you_mean(kind, kind_names_));
+                problems_.add(position, "unknown kind '" + kind + "'" + did_you_mean(kind, kind_names_));
         const CacheEvents& events = out_.cache_events;
         if (events.vocabulary == Vocabulary::tokenizer &&
             (events.tokenizer.empty() || events.prompt_message.find("{content}") == std::string::npos))
@@ -353,7 +355,7 @@
         if (router.release_within < 4 * router.tick)
             problems_.add({}, "'release-within' must be at least four times 'tick'");
         if (out_.require_key && keys_.empty()) problems_.add({}, "'require-key' needs tenants with keys");
-        if (out_.load != LoadSource::none)
+        if (out_.load_source != LoadSource::none)
             router.report_fields = {ReportField::active, ReportField::memory_share};
     }
 
@@ -361,7 +363,7 @@
     Problems& problems_;
     EdgeSettings out_;
     std::set<std::string> class_names_, kind_names_, tenant_names_, server_names_, keys_;
-    std::vector<std::pair<kdl::Place, std::string>> kinds_used_;  // by servers
+    std::vector<std::pair<kdl::SourcePosition, std::string>> kinds_used_;  // by servers
 };
 
 }  // namespace
@@ -370,7 +372,7 @@
     Problems problems(file);
     const auto document = kdl::parse(text);
     if (!document) {
-        problems.add(document.error().place, document.error().text);
+        problems.add(document.error().position, document.error().text);
         return tl::unexpected(problems.all());
     }
     auto settings = SettingsReader(*document, problems).read();
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,9 +1,9 @@
-// The settings of one gateway, from a KDL file: parsed, validated and typed. docs/operators/gateway.md lists
-// the file's keys; the fields' names are those of the code.
+// The settings of one gateway, parsed from a KDL file and validated. docs/operators/gateway.md lists the
+// file's keys, which differ from the names of the fields.
 //
 // The package holds the KDL reader (kdl/kdl.hpp), the typed reading of nodes (schema.hpp) and the settings'
-// schema. It does no I/O and starts no threads; what it returns owns its data. Errors are a list of Problems
-// with file, line and column, of all that is wrong with the file. Every setting has a default but those that
+// schema. It does no I/O and starts no threads; what it returns owns its data. All errors of a file are
+// returned as a list of Problems with file, line and column. Every setting has a default, except those that
 // the reader marks as required.
 #pragma once
 
@@ -20,74 +20,75 @@
 
 namespace chalksail::config {
 
-// Assigns requests to a class: all parts that are given must match. A '*' at the end of a text matches any
-// further text.
+// Assigns requests to a class. All fields that are not empty must match; a '*' at the end of a field matches
+// any suffix.
 struct ClassRule {
     std::string model;
     std::string path;
     std::string header;
-    std::string is;  // the header's value; empty: it only has to be there
+    std::string header_value;  // required value of the header; empty: any value
 };
-// What this gateway needs of a request class beside RequestClassSettings.
+// Settings of a request class that are not in RequestClassSettings.
 struct ClassConfig {
     std::string name;
-    std::vector<ClassRule> rules;  // none: every request
-    bool deadline_header = false;  // clients may shorten their deadline by "X-Request-Timeout-Ms"
+    std::vector<ClassRule> rules;  // empty: every request matches
+    bool deadline_header = false;  // clients may shorten their deadline with "X-Request-Timeout-Ms"
 };
 // Verified TLS to the servers of a kind. Files are PEM.
 struct TlsConfig {
-    std::string name;         // expected in the server's certificate; {name} stands for its name in the list
-    std::string trust;        // CAs of the servers' certificates
-    std::string revocation;   // a CRL; empty: none
-    std::string certificate;  // this gateway's own, if servers request one
+    std::string
+        name;  // name expected in the server's certificate; {name} is replaced by its name in the list
+    std::string trusted_cas;  // CAs of the servers' certificates
+    std::string revocation;   // file with a CRL; empty: none
+    std::string certificate;  // this gateway's certificate, if servers request one
     std::string key;
 };
-// What this gateway needs of a server kind beside ServerKindSettings.
+// Settings of a server kind that are not in ServerKindSettings.
 struct KindConfig {
     std::string name;
-    std::vector<int> not_run_statuses;  // engines of this kind answer so only what they did not process
-    bool release = true;                // its engines release KV state on request
+    std::vector<int> not_run_statuses;  // statuses with which engines report requests that they did not run
+    bool release = true;                // engines of this kind support release calls
     std::optional<TlsConfig> tls;       // none: plaintext
-    bool cache_events = false;          // its engines publish cache events
+    bool cache_events = false;          // engines of this kind publish cache events
 };
-// TLS from clients. The first certificate is for clients that request none of the names (SNI).
+// TLS for client connections. The first certificate is used if the client's SNI name matches none.
 struct ListenerTls {
-    struct Pair {
+    struct CertificateFiles {
         std::string certificate;
         std::string key;
     };
-    std::vector<Pair> certificates;
-    std::string clients;  // CAs of the certificates that clients must present; empty: none is requested
+    std::vector<CertificateFiles> certificates;
+    std::string client_cas;  // CAs of the required client certificates; empty: none are requested
 };
-// What this gateway needs of a tenant beside TenantSettings.
+// Settings of a tenant that are not in TenantSettings.
 struct TenantConfig {
     std::string name;
     std::vector<std::string> keys;  // API keys
 };
 // How the token ids in engines' cache events are converted to text.
 enum class Vocabulary {
-    four_bytes,  // an id is four bytes of text, big-endian; a prompt is the JSON of its messages
-    tokenizer,   // by the model's tokenizer.json; a prompt is what its template renders
+    four_bytes,  // a token id is four bytes of text, big-endian; a prompt is the JSON of its messages
+    tokenizer,   // ids of the model's tokenizer.json; a prompt is the output of its chat template
 };
 // The subscription to engines' cache events.
 struct CacheEvents {
     Vocabulary vocabulary = Vocabulary::four_bytes;
     std::string tokenizer;       // file
-    std::string prompt_begin;    // what the template puts before the first message
-    std::string prompt_message;  // one message, with {role} and {content}
+    std::string prompt_begin;    // text that the chat template puts before the first message
+    std::string prompt_message;  // template of one message, with {role} and {content}
     std::int64_t blocks_per_server = 20'000;
-    std::int64_t held_batches = 1'024;  // of one server, while a replay is under way
-    std::int64_t queue = 1'000;         // messages of one server not read yet; more are lost
+    std::int64_t max_buffered_batches = 1'024;  // of one server, buffered during a replay
+    std::int64_t max_queued_messages = 1'000;   // of one server, not read yet; further messages are lost
     std::size_t message_bytes = 4 * 1024 * 1024;
-    // Read in one turn of the event loop, at most, so that other work is not delayed.
+    // The maximum read in one iteration of the event loop, so that other work is not delayed.
     std::int64_t turn_messages = 64;
     std::size_t turn_bytes = 128 * 1024;
-    Duration reconnect_least = std::chrono::milliseconds(100);
-    Duration reconnect_most = std::chrono::seconds(2);
+    Duration reconnect_min = std::chrono::milliseconds(100);
+    Duration reconnect_max = std::chrono::seconds(2);
     Duration replay_timeout = std::chrono::seconds(1);
-    std::string snapshots;  // folder of the snapshots that outlive a restart; empty: none are stored
-    Duration snapshot_every = std::chrono::seconds(60);             // of one server
-    std::size_t snapshots_bytes = std::size_t{1024} * 1024 * 1024;  // of the folder, at most
+    std::string snapshot_folder;  // folder of the snapshots, which survive a restart; empty: none are stored
+    Duration snapshot_interval = std::chrono::seconds(60);  // interval between two snapshots of one server
+    std::size_t snapshot_folder_bytes = std::size_t{1024} * 1024 * 1024;  // maximum size of the folder
 };
 // The protocol between this gateway, its clients and its servers.
 enum class ProtocolKind {
@@ -101,7 +102,7 @@
     metrics,  // polled
 };
 
-// A server that the settings list, if the list comes from nowhere else.
+// A server of a static endpoint list, for gateways without service discovery.
 struct ServerConfig {
     std::string name;
     std::string kind;
@@ -109,91 +110,93 @@
     std::int64_t cell = 0;
     double weight = 1;
     Address address;
-    std::optional<Address> events;  // publishes its cache events here
-    std::optional<Address> replay;  // replays past cache events here
+    std::optional<Address> events;  // where it publishes its cache events
+    std::optional<Address> replay;  // where it replays past cache events
 };
 
-// For durations without a limit.
+// The value of a duration that is not limited.
 inline constexpr Duration kNoLimit = Duration::max();
 
-// Limits of a gateway's memory, connections and times.
+// Limits of a gateway's memory, connections and durations.
 struct EdgeLimits {
     // --- Bytes ---
-    std::size_t head_bytes = 32 * 1024;                    // of a request's or response's head
-    std::size_t body_bytes = 8 * 1024 * 1024;              // of a request's body
-    std::size_t request_bytes = std::size_t{1} << 30U;     // bodies of all open requests that are retained
-    std::size_t unfinished_bytes = std::size_t{1} << 30U;  // all requests that are still being received
-    std::size_t stream_buffer = 64 * 1024;  // queued for a client, above which its engine is not read
-    std::size_t event_bytes = 1024 * 1024;  // one event of an engine's stream
+    std::size_t head_bytes = 32 * 1024;                    // head of a request or response
+    std::size_t body_bytes = 8 * 1024 * 1024;              // body of a request
+    std::size_t request_bytes = std::size_t{1} << 30U;     // retained bodies of all open requests together
+    std::size_t unfinished_bytes = std::size_t{1} << 30U;  // requests still being received, together
+    std::size_t stream_buffer_bytes = 64 * 1024;  // queued for a client; more pauses reading from its engine
+    std::size_t event_bytes = 1024 * 1024;        // one event of an engine's stream
     std::uint64_t chunk_bytes = std::uint64_t{1} << 30U;  // one chunk of an engine's response
-    std::size_t answer_bytes = 16 * 1024 * 1024;          // a buffered response, and a prefill's response
+    std::size_t response_bytes = 16 * 1024 * 1024;        // a buffered response, and a prefill's response
     std::size_t pipelined_bytes = 16 * 1024 * 1024;  // received from a client ahead of its current request
-    std::size_t discarded_bytes = 4 * 1024 * 1024;   // beyond that, discarded before its connection is closed
+    std::size_t discarded_bytes = 4 * 1024 * 1024;   // discarded beyond that before the connection is closed
 
     // --- Counts ---
-    std::int64_t connections = 12'000;  // from clients
+    std::int64_t client_connections = 12'000;
     std::int64_t open_requests = 11'000;
-    std::int64_t per_server = 1'024;      // connections to one server
-    std::int64_t server_connections = 0;  // to all servers together; 0: no limit of its own
+    std::int64_t connections_per_server = 1'024;
+    std::int64_t server_connections = 0;  // connections to all servers together; 0: no separate limit
     std::int64_t dial_queue = 4'096;      // attempts waiting for a connection to one server
-    std::int64_t handshakes = 64;         // TLS handshakes to all servers in progress
+    std::int64_t handshakes = 64;         // TLS handshakes in progress with all servers together
     std::int64_t handshakes_per_server = 8;
     std::int64_t admin_connections = 64;
 
     // --- Client connections ---
     Duration head_timeout = std::chrono::seconds(10);  // from a request's first byte to the end of its head
     Duration body_timeout = std::chrono::seconds(30);
-    Duration request_idle{};                           // within a request, without a byte; 0: no limit
-    Duration idle_timeout = std::chrono::seconds(75);  // between requests
+    Duration request_idle_timeout{};                   // without a byte of an incomplete request; 0: no limit
+    Duration idle_timeout = std::chrono::seconds(75);  // between two requests
     Duration first_timeout{};                          // before the first request; 0: idle_timeout
-    Duration idle_pressed = std::chrono::seconds(2);   // idle_timeout while few connections are available
-    Duration linger =
-        std::chrono::milliseconds(1500);  // after an error response while the client still sends
-    Duration stall_timeout = std::chrono::seconds(30);  // a client that accepts none of its queued bytes
+    // Replaces idle_timeout while few connections are available.
+    Duration idle_timeout_under_pressure = std::chrono::seconds(2);
+    // How long a connection stays open after an error response while the client still sends.
+    Duration linger = std::chrono::milliseconds(1500);
+    Duration stall_timeout = std::chrono::seconds(30);  // for a client that accepts none of its queued bytes
 
     // --- Streams and servers ---
-    Duration stream_idle = std::chrono::seconds(30);  // a started stream without a byte from its engine
-    Duration stream_longest = std::chrono::minutes(30);
-    // For the response to a cancelled prefill that may still be on its way.
+    Duration stream_idle_timeout = std::chrono::seconds(30);  // a stream without a byte from its engine
+    Duration max_stream_duration = std::chrono::minutes(30);
+    // How long to wait for the response to a cancelled prefill, which may already be on its way.
     Duration cancel_wait = std::chrono::milliseconds(20);
-    Duration server_idle = std::chrono::seconds(30);  // an unused connection to a server
+    Duration server_idle_timeout = std::chrono::seconds(30);  // for an unused connection to a server
     // A connection idle for at least this long is reused before one that has just responded.
     Duration server_preferred_idle{};
-    Duration release_timeout = std::chrono::seconds(2);  // of a release call and of a health check
-    std::int64_t release_attempts = 1;                   // of a release call that any server accepts
-    Duration release_retry{};  // until another server is sent such a call; 0: release_timeout
-    Duration unverified_backoff = std::chrono::seconds(1);  // before a server's next trial handshake
+    Duration release_timeout = std::chrono::seconds(2);  // for a release call or a health check
+    std::int64_t release_attempts = 1;  // rounds of release calls, if any server accepts them
+    Duration release_retry{};           // delay until the next round; 0: release_timeout
+    // Delay before the next handshake with a server that failed verification.
+    Duration unverified_backoff = std::chrono::seconds(1);
     Duration unverified_backoff_max = std::chrono::minutes(5);
     Duration tls_poll_interval = std::chrono::seconds(5);  // between checks of the TLS files for changes
 
     // --- Shutdown ---
-    Duration drain = std::chrono::seconds(30);  // from SIGTERM to the exit; or kNoLimit
-    Duration drain_grace{};                     // from SIGTERM: new requests are still accepted ...
-    Duration drain_answers{};                   // ... and answered within this
+    Duration drain_timeout = std::chrono::seconds(30);  // from SIGTERM to the exit; or kNoLimit
+    Duration drain_grace{};           // after SIGTERM, new requests are still accepted for this time ...
+    Duration drain_answer_timeout{};  // ... and must be answered within this time of SIGTERM
 };
 
 struct EdgeSettings {
-    Settings module;  // of the router
+    Settings router;
     ProtocolKind protocol = ProtocolKind::vllm;
     std::string name = "edge-0";
-    std::uint64_t seed = 0;  // of all randomness; 0: a random one
+    std::uint64_t seed = 0;  // of all random numbers; 0: chosen at random
     Address listen{"127.0.0.1", 0};
-    std::optional<Address> admin = Address{"127.0.0.1", 0};  // none: no admin listener
+    std::optional<Address> admin = Address{"127.0.0.1", 0};  // empty: no admin listener
     CacheEvents cache_events;
-    std::optional<ListenerTls> listener_tls;  // none: plaintext
+    std::optional<ListenerTls> listener_tls;  // empty: plaintext
     EdgeLimits limits;
-    std::vector<ClassConfig> classes;   // in the order of module.classes
-    std::vector<KindConfig> kinds;      // in the order of module.kinds
-    std::vector<TenantConfig> tenants;  // in the order of module.tenants
+    std::vector<ClassConfig> classes;   // in the order of router.classes
+    std::vector<KindConfig> kinds;      // in the order of router.kinds
+    std::vector<TenantConfig> tenants;  // in the order of router.tenants
     std::vector<std::string> models;    // empty: every model is accepted
-    bool require_key = false;           // requests without a tenant's key are rejected
+    bool require_key = false;           // requests without a tenant's API key are rejected
     std::string session_header = "X-Session-Id";
-    double tokens_per_byte = 0.25;  // initial estimate; corrected by what engines report
-    LoadSource load = LoadSource::none;
+    double tokens_per_byte = 0.25;  // initial estimate; corrected by the token counts that engines report
+    LoadSource load_source = LoadSource::none;
     std::vector<ServerConfig> servers;
     std::string log_level = "info";
 
-    // nullptr if there is no such kind.
+    // Returns the kind of that name, or nullptr if there is none.
     [[nodiscard]] const KindConfig* kind(const std::string& kind_name) const {
         const auto it =
             std::find_if(kinds.begin(), kinds.end(), [&](const auto& k) { return k.name == kind_name; });
@@ -202,7 +205,7 @@
 };
 
 using SettingsResult = tl::expected<EdgeSettings, std::vector<Problem>>;
-// Parses and validates a settings file. `file` is its name in the problems.
+// Parses and validates the text of a settings file. `file` is the name used in the problems.
 [[nodiscard]] SettingsResult parse_settings(std::string_view text, const std::string& file);
 
 }  // namespace chalksail::config
--- a/src/core/active_requests.cpp
+++ b/src/core/active_requests.cpp
@@ -77,11 +77,11 @@
 StreamLimit stream_limit(const ActiveRequest& request, const config::EdgeLimits& limits, bool paused,
                          Time now) {
     StreamLimit limit;
-    limit.end = *request.first_chunk + limits.stream_longest;
+    limit.end = *request.first_chunk + limits.max_stream_duration;
     if (request.migrate_at) limit.end = std::min(limit.end, *request.migrate_at);
     // A client that wants one object has nothing in hand until the end: its deadline holds on.
     if (!request.streams()) limit.end = std::min(limit.end, request.deadline);
-    limit.idle = (paused ? now : request.last_chunk) + limits.stream_idle;
+    limit.idle = (paused ? now : request.last_chunk) + limits.stream_idle_timeout;
     return limit;
 }
 
--- a/src/core/attempt_result.hpp
+++ b/src/core/attempt_result.hpp
@@ -12,13 +12,13 @@
 namespace chalksail::core {
 
 struct AttemptResult {
-    engine::Ending ending = engine::Ending::answered;
-    engine::Judgement judgement;
+    engine::ExchangeEnd ending = engine::ExchangeEnd::response_received;
+    engine::AttemptClassification classification;
     std::optional<PrefillResult> prefill;  // of a prefill attempt that ended well
 
-    [[nodiscard]] AttemptOutcome outcome() const { return judgement.outcome; }
+    [[nodiscard]] AttemptOutcome outcome() const { return classification.outcome; }
     // The server found the request itself at fault (4xx): its answer goes to the client.
-    [[nodiscard]] bool client_error() const { return judgement.client_error; }
+    [[nodiscard]] bool client_error() const { return classification.client_error; }
     // Served to its end.
     [[nodiscard]] bool ok() const { return outcome() == AttemptOutcome::ok && !client_error(); }
     // The server has reacted to the attempt, so that it arrived.
@@ -31,12 +31,12 @@
 };
 
 // `stream_started`: the client of the request received a part of an answer.
-[[nodiscard]] AttemptResult judge_attempt(const Protocol& protocol, const UpstreamCall& call,
-                                          engine::Ending ending, bool stream_started);
+[[nodiscard]] AttemptResult classify_attempt(const Protocol& protocol, const UpstreamCall& call,
+                                             engine::ExchangeEnd ending, bool stream_started);
 
 // If the attempt were cancelled now, could its server have received it?
 [[nodiscard]] bool may_have_arrived(const Protocol& protocol, const UpstreamCall& call);
 
-[[nodiscard]] AttemptOutcome judge_health_check(const UpstreamCall& call, engine::Ending ending);
+[[nodiscard]] AttemptOutcome classify_health_check(const UpstreamCall& call, engine::ExchangeEnd ending);
 
 }  // namespace chalksail::core
--- a/src/core/attempt_runner.cpp
+++ b/src/core/attempt_runner.cpp
@@ -5,7 +5,7 @@
 
 namespace chalksail::core {
 
-using engine::Ending;
+using engine::ExchangeEnd;
 
 namespace {
 
@@ -21,12 +21,12 @@
                           const Send& action, Time now, StepOutput& output) {
     const ProtocolSession& session = *request.parsed.protocol_session;
     const AttemptId attempt{request.attempts++};
-    const bool prefill = role_of(parts_.settings.module, server.endpoint.kind) == Role::prefill;
-    const Duration time_left = request.deadline - now;
-    auto message =
-        prefill ? session.prefill_request(attempt.value, time_left)
-                : session.decode_request(attempt.value, parts_.kv_states.held_state(request.id), time_left);
-    const double priority = parts_.settings.module.classes[request.parsed.class_index].priority_weight;
+    const bool prefill = role_of(parts_.settings.router, server.endpoint.kind) == Role::prefill;
+    const Duration time_remaining = request.deadline - now;
+    auto message = prefill ? session.prefill_request(attempt.value, time_remaining)
+                           : session.decode_request(attempt.value, parts_.kv_states.held_state(request.id),
+                                                    time_remaining);
+    const double priority = parts_.settings.router.classes[request.parsed.class_index].priority_weight;
     UpstreamCall& call =
         parts_.calls.begin(CallKind::attempt, server, std::move(message), priority, now, output);
     call.request = request.id;
@@ -43,21 +43,21 @@
     auto progress = call.parser->feed(bytes);
     if (progress.events > 0) {
         // Its client has disconnected, and the router may not cancel attempts.
-        if (request.finished()) return abort(id, Ending::cancelled, "client gone", now, output);
+        if (request.finished()) return abort(id, ExchangeEnd::cancelled, "client gone", now, output);
         request.last_chunk = now;
         parts_.endpoints.record_activity(call.server, now);
         request.chunks += progress.events;
         if (!request.stream_started()) start_stream(request, call, now, output);
         if (!progress.to_client.empty())
-            output.emit(StreamBytes{request.client, std::move(progress.to_client)});
+            output.emit(SendStreamBytes{request.client, std::move(progress.to_client)});
     }
     switch (progress.state) {
-        case DecodeResponseParser::State::more: return;
-        case DecodeResponseParser::State::whole:
+        case DecodeResponseParser::State::incomplete: return;
+        case DecodeResponseParser::State::complete:
             output.emit(CompleteCall{id});
-            return end(id, Ending::answered, "", now, output);
+            return end(id, ExchangeEnd::response_received, "", now, output);
         case DecodeResponseParser::State::malformed:
-            return abort(id, Ending::bad_answer, progress.detail, now, output);
+            return abort(id, ExchangeEnd::malformed_response, progress.detail, now, output);
     }
 }
 
@@ -67,27 +67,29 @@
     parts_.requests.start_stream(request, now);
     output.notify(StreamStarted{request.id, call.attempt, {call.server}, now - call.begun});
     parts_.kv_states.mark_fetched(request.id, call.server, now, output);
-    Time check = now + parts_.settings.limits.stream_idle;
+    Time check = now + parts_.settings.limits.stream_idle_timeout;
     if (request.migrate_at) check = std::min(check, *request.migrate_at);
     if (!request.streams()) check = std::min(check, request.deadline);
     parts_.requests.set_timer(request, check);
     parts_.requests.drop_body(request);
     if (request.streams())
-        output.emit(StreamBegin{request.client, request.parsed.protocol_session->stream_head()});
+        output.emit(BeginStream{request.client, request.parsed.protocol_session->stream_head()});
 }
 
-void AttemptRunner::abort(CallId id, Ending ending, const std::string& detail, Time now, StepOutput& output) {
-    output.emit(CallAbort{id});
+void AttemptRunner::abort(CallId id, ExchangeEnd ending, const std::string& detail, Time now,
+                          StepOutput& output) {
+    output.emit(AbortCall{id});
     end(id, ending, detail, now, output);
 }
 
-void AttemptRunner::end(CallId id, Ending ending, const std::string& detail, Time now, StepOutput& output) {
+void AttemptRunner::end(CallId id, ExchangeEnd ending, const std::string& detail, Time now,
+                        StepOutput& output) {
     const UpstreamCall call = parts_.calls.end(id);
     ActiveRequest& request = *parts_.requests.find(call.request);
     request.attempt.reset();
-    if (ending == Ending::unverified) mark_unverified(call.server, detail, now, output);
+    if (ending == ExchangeEnd::unverified) mark_unverified(call.server, detail, now, output);
 
-    const AttemptResult result = judge_attempt(*parts_.protocol, call, ending, request.stream_started());
+    const AttemptResult result = classify_attempt(*parts_.protocol, call, ending, request.stream_started());
     if (result.may_have_run(call) && !request.first_run) {
         const auto* const server = parts_.endpoints.find(call.server);
         request.first_run = {call.begun, server == nullptr ? Endpoint{} : server->endpoint};
@@ -112,7 +114,7 @@
     event.elapsed = now - call.begun;
     // The break of a stream that had started ends the request, as its good end and a client error do.
     event.request_finished = request.finished() || request.stream_started() || result.client_error();
-    event.kv_state_missing = result.judgement.kv_state_missing;
+    event.kv_state_missing = result.classification.kv_state_missing;
     if (result.prefill) event.cached_prompt_tokens = result.prefill->cached_tokens.value_or(0);
     else if (!call.prefill && result.ok())
         event.cached_prompt_tokens = request.parsed.protocol_session->cached_tokens();
@@ -152,7 +154,7 @@
     record.status = call.status;
     record.sent = call.sent();
     record.started = request.stream_started() && !call.prefill;
-    record.taken = now - call.begun;
+    record.duration = now - call.begun;
     record.detail = detail;
     record.written = call.written();
     output.record(std::move(record));
@@ -160,7 +162,7 @@
 
 void AttemptRunner::withhold(const std::set<std::string>& servers, Time now, StepOutput& output) {
     for (const CallId id : parts_.calls.queued_attempts(servers))
-        abort(id, Ending::withdrawn, "list", now, output);
+        abort(id, ExchangeEnd::withdrawn, "list", now, output);
 }
 
 void AttemptRunner::mark_unverified(const std::string& server, const std::string& detail, Time now,
--- a/src/core/attempt_runner.hpp
+++ b/src/core/attempt_runner.hpp
@@ -24,9 +24,10 @@
     // Bytes of a decode response.
     void receive_stream(UpstreamCall& call, std::string_view bytes, Time now, StepOutput& output);
     // Closes the attempt's connection and ends it.
-    void abort(CallId id, engine::Ending ending, const std::string& detail, Time now, StepOutput& output);
+    void abort(CallId id, engine::ExchangeEnd ending, const std::string& detail, Time now,
+               StepOutput& output);
     // The one place where an attempt ends, whatever ended it. The request may be removed by it.
-    void end(CallId id, engine::Ending ending, const std::string& detail, Time now, StepOutput& output);
+    void end(CallId id, engine::ExchangeEnd ending, const std::string& detail, Time now, StepOutput& output);
     // Takes back the attempts that still wait for a connection to one of these servers.
     void withhold(const std::set<std::string>& servers, Time now, StepOutput& output);
     // The server did not prove its name.
--- a/src/core/cache_index.cpp
+++ b/src/core/cache_index.cpp
@@ -32,7 +32,7 @@
     prefix::ReportedCaches::Limits limits;
     limits.index.max_blocks_per_engine = static_cast<std::size_t>(settings.cache_events.blocks_per_server);
     limits.decode.max_bytes = settings.cache_events.message_bytes;
-    limits.max_pending_batches = static_cast<std::size_t>(settings.cache_events.held_batches);
+    limits.max_pending_batches = static_cast<std::size_t>(settings.cache_events.max_buffered_batches);
     caches_ = std::make_unique<prefix::ReportedCaches>(token_text(settings, std::move(vocabulary)), limits);
 }
 
@@ -53,7 +53,7 @@
 void CacheIndex::apply(CacheSnapshots& snapshots, Time now) {
     if (caches_ == nullptr) return;
     restored_snapshots_ = std::move(snapshots.by_server);
-    next_snapshot_at_ = now + settings_.cache_events.snapshot_every;
+    next_snapshot_at_ = now + settings_.cache_events.snapshot_interval;
 }
 
 void CacheIndex::follow(const EndpointRegistry::Endpoints& endpoints, Time now, StepOutput& output) {
@@ -104,15 +104,16 @@
     expire_replays(now, output);
 }
 
-// One server at a time, each once in `snapshot_every`: no turn of the event loop has more than one to write.
+// One server at a time, each once in `snapshot_interval`, so that no turn of the event loop writes more than
+// one.
 void CacheIndex::store_due_snapshot(Time now, StepOutput& output) {
     if (subscriptions_.empty() || now < next_snapshot_at_) return;
     auto it = subscriptions_.upper_bound(last_snapshot_server_);
     if (it == subscriptions_.end()) it = subscriptions_.begin();
     last_snapshot_server_ = it->first;
     const auto servers = static_cast<std::int64_t>(subscriptions_.size());
-    const Duration pause = settings_.cache_events.snapshot_every / servers;
-    next_snapshot_at_ = now + std::max(settings_.module.tick, pause);
+    const Duration pause = settings_.cache_events.snapshot_interval / servers;
+    next_snapshot_at_ = now + std::max(settings_.router.tick, pause);
     if (auto bytes = caches_->snapshot(last_snapshot_server_))
         output.emit(StoreCacheSnapshot{last_snapshot_server_, std::move(*bytes)});
 }
--- a/src/core/client_response.cpp
+++ b/src/core/client_response.cpp
@@ -4,7 +4,7 @@
 
 namespace chalksail::core {
 
-void send_response(ClientId client, Answer answer, StepOutput& output) {
+void send_response(ClientId client, ClientResponse answer, StepOutput& output) {
     output.emit(SendResponse{client, answer.status, std::move(answer.headers), std::move(answer.body)});
 }
 
@@ -12,8 +12,8 @@
     ProtocolSession& session = *request.parsed.protocol_session;
     if (!request.streams()) return send_response(request.client, session.collected(), output);
     if (auto tail = session.stream_tail(); !tail.empty())
-        output.emit(StreamBytes{request.client, std::move(tail)});
-    output.emit(StreamEnd{request.client});
+        output.emit(SendStreamBytes{request.client, std::move(tail)});
+    output.emit(EndStream{request.client});
 }
 
 void send_failure(const ActiveRequest& request, int status, const std::string& message, bool retryable,
@@ -23,8 +23,8 @@
         return send_response(request.client, session.failure(status, message, retryable), output);
     auto last = session.stream_error(status, message);
     if (!last) return output.emit(AbortStream{request.client});
-    output.emit(StreamBytes{request.client, std::move(*last)});
-    output.emit(StreamEnd{request.client});
+    output.emit(SendStreamBytes{request.client, std::move(*last)});
+    output.emit(EndStream{request.client});
 }
 
 }  // namespace chalksail::core
--- a/src/core/client_response.hpp
+++ b/src/core/client_response.hpp
@@ -16,7 +16,7 @@
 inline constexpr int kGatewayTimeout = 504;
 
 // Sends a whole response.
-void send_response(ClientId client, Answer answer, StepOutput& output);
+void send_response(ClientId client, ClientResponse answer, StepOutput& output);
 
 // Ends the answer of a request that was served: the end of its stream, or the one object.
 void send_end_of_answer(const ActiveRequest& request, StepOutput& output);
--- a/src/core/core_parts.hpp
+++ b/src/core/core_parts.hpp
@@ -24,7 +24,7 @@
           cache_index(settings, std::move(vocabulary)),
           requests(settings.limits),
           kv_states(settings, *protocol, endpoints, calls),
-          guard(settings.module, endpoints) {}
+          guard(settings.router, endpoints) {}
     CoreParts(const CoreParts&) = delete;  // the parts refer to one another
     CoreParts& operator=(const CoreParts&) = delete;
 
--- a/src/core/edge.cpp
+++ b/src/core/edge.cpp
@@ -7,7 +7,7 @@
 
 namespace chalksail::core {
 
-using engine::Ending;
+using engine::ExchangeEnd;
 using observe::GuardReason;
 using observe::GuardRecord;
 using observe::ReleaseReason;
@@ -85,7 +85,7 @@
     if (call->kind != CallKind::attempt) return true;
     const ActiveRequest& request = *parts_.requests.find(call->request);
     if (!parts_.guard.may_begin(request, call->server, now)) return false;
-    request.parsed.protocol_session->update_time_left(headers, request.deadline - now);
+    request.parsed.protocol_session->update_time_remaining(headers, request.deadline - now);
     return true;
 }
 
@@ -113,9 +113,9 @@
     output_.notify(ClientDisconnected{request->id});
     request->record_client_closed(input.detail);
     completion_.finish(*request, Termination::client_gone, 0,
-                       request->stream_started() ? TerminationReason::hung_up_streaming
-                       : request->attempt        ? TerminationReason::hung_up_attempt
-                                                 : TerminationReason::hung_up_held,
+                       request->stream_started() ? TerminationReason::disconnected_during_stream
+                       : request->attempt        ? TerminationReason::disconnected_during_attempt
+                                                 : TerminationReason::disconnected_before_attempt,
                        now_, output_);
     if (!request->attempt) return completion_.remove_if_over(*request, now_, output_);
     const UpstreamCall& attempt = *parts_.calls.find(*request->attempt);
@@ -123,7 +123,7 @@
     // cancel. An attempt that can't have arrived must not begin for nobody: it waits in a queue, or at a slow
     // server.
     if (request->stream_started() || !may_have_arrived(*parts_.protocol, attempt))
-        return attempts_.abort(attempt.id, Ending::cancelled, "client gone", now_, output_);
+        return attempts_.abort(attempt.id, ExchangeEnd::cancelled, "client gone", now_, output_);
     // Where it may not be cancelled it goes on to its end; what is held does not wait for that.
     attempts_.set_timer(*request, attempt);
 }
@@ -133,9 +133,10 @@
     for (const RequestId id : parts_.requests.unfinished()) {
         ActiveRequest& request = *parts_.requests.find(id);
         output_.notify(ClientDisconnected{id});
-        completion_.fail(request, kServiceUnavailable, TerminationReason::drain, "this gateway has ended",
-                         now_, output_);
-        if (request.attempt) attempts_.abort(*request.attempt, Ending::cancelled, "drain", now_, output_);
+        completion_.fail(request, kServiceUnavailable, TerminationReason::drain_expired,
+                         "this gateway has ended", now_, output_);
+        if (request.attempt)
+            attempts_.abort(*request.attempt, ExchangeEnd::cancelled, "drain", now_, output_);
         else completion_.remove_if_over(request, now_, output_);
     }
 }
@@ -178,26 +179,26 @@
     UpstreamCall* const call = parts_.calls.find(input.call);
     if (call == nullptr) return;
     if (call->parser != nullptr) return attempts_.receive_stream(*call, input.bytes, now_, output_);
-    if (call->body.size() + input.bytes.size() <= parts_.settings.limits.answer_bytes) {
+    if (call->body.size() + input.bytes.size() <= parts_.settings.limits.response_bytes) {
         call->body += input.bytes;
         return;
     }
-    output_.emit(CallAbort{call->id});
-    end_call(call->id, Ending::bad_answer, "answer too large");
+    output_.emit(AbortCall{call->id});
+    end_call(call->id, ExchangeEnd::malformed_response, "answer too large");
 }
 
 void Edge::on(const CallFailed& input) {
     const UpstreamCall* const call = parts_.calls.find(input.call);
-    if (call != nullptr && call->half_closed) end_call(input.call, Ending::cancelled, "called off");
+    if (call != nullptr && call->half_closed) end_call(input.call, ExchangeEnd::cancelled, "called off");
     else end_call(input.call, input.ending, input.detail);
 }
 
-void Edge::end_call(CallId id, Ending ending, const std::string& detail) {
+void Edge::end_call(CallId id, ExchangeEnd ending, const std::string& detail) {
     const UpstreamCall* const known = parts_.calls.find(id);
     if (known == nullptr) return;
     if (known->kind == CallKind::attempt) return attempts_.end(id, ending, detail, now_, output_);
     const UpstreamCall call = parts_.calls.end(id);
-    if (ending == Ending::unverified) attempts_.mark_unverified(call.server, detail, now_, output_);
+    if (ending == ExchangeEnd::unverified) attempts_.mark_unverified(call.server, detail, now_, output_);
     switch (call.kind) {
         case CallKind::attempt: return;
         case CallKind::health_check: return end_health_check(call, ending);
@@ -209,10 +210,11 @@
     }
 }
 
-void Edge::end_reservation(const UpstreamCall& call, Ending ending) {
+void Edge::end_reservation(const UpstreamCall& call, ExchangeEnd ending) {
     using Reservation = Protocol::Reservation;
-    const Reservation reservation =
-        ending == Ending::answered ? parts_.protocol->reservation_state(call.status) : Reservation::unknown;
+    const Reservation reservation = ending == ExchangeEnd::response_received
+                                        ? parts_.protocol->reservation_state(call.status)
+                                        : Reservation::unknown;
     const ActiveRequest* const request = parts_.requests.find(call.request);
     if (request == nullptr) return;
     if (reservation != Reservation::unknown)
@@ -221,17 +223,17 @@
         parts_.kv_states.reservation_ended(call, now_);
 }
 
-void Edge::end_health_check(const UpstreamCall& call, Ending ending) {
-    const AttemptOutcome outcome = judge_health_check(call, ending);
+void Edge::end_health_check(const UpstreamCall& call, ExchangeEnd ending) {
+    const AttemptOutcome outcome = classify_health_check(call, ending);
     output_.record(observe::ServerRecord{call.server, observe::ServerAction::health_check,
                                          std::string(engine::name(outcome))});
     output_.notify(HealthCheckEnded{
         {call.server}, outcome, now_ - call.begun, parts_.protocol->health_check_load(call.head, call.body)});
 }
 
-void Edge::end_verification(const UpstreamCall& call, Ending ending) {
-    if (ending == Ending::answered) parts_.endpoints.mark_verified(call.server, output_);
-    else if (ending != Ending::unverified) parts_.endpoints.verification_inconclusive(call.server, now_);
+void Edge::end_verification(const UpstreamCall& call, ExchangeEnd ending) {
+    if (ending == ExchangeEnd::response_received) parts_.endpoints.mark_verified(call.server, output_);
+    else if (ending != ExchangeEnd::unverified) parts_.endpoints.verification_inconclusive(call.server, now_);
 }
 
 // ---- attempts ----
@@ -246,7 +248,7 @@
     // An endpoint with a call in flight stays until that has ended; KV states have a copy of theirs.
     for (const auto& server : parts_.endpoints.forget_removed(parts_.calls.servers_in_use())) {
         parts_.kv_states.forget_server(server);
-        output_.emit(EndpointForgotten{server});
+        output_.emit(ForgetEndpoint{server});
     }
 }
 
@@ -302,16 +304,17 @@
     if (request == nullptr || request->finished()) return;
     if (!parts_.guard.may_reject(*request)) {
         output_.record(GuardRecord{request->parsed.name, GuardReason::refusal_of_what_may_have_run});
-        completion_.fail(*request, kBadGateway, TerminationReason::attempts, "the request failed", now_,
-                         output_);
+        completion_.fail(*request, kBadGateway, TerminationReason::attempts_failed, "the request failed",
+                         now_, output_);
         return completion_.remove_if_over(*request, now_, output_);
     }
     auto answer = request->parsed.protocol_session->rejection(action.retry_after);
     const int status = answer.status;
     send_response(request->client, std::move(answer), output_);
-    completion_.finish(*request, Termination::refused, status,
-                       request->attempts == 0 ? TerminationReason::held : TerminationReason::attempts, now_,
-                       output_);
+    completion_.finish(
+        *request, Termination::refused, status,
+        request->attempts == 0 ? TerminationReason::not_attempted : TerminationReason::attempts_failed, now_,
+        output_);
     completion_.remove_if_over(*request, now_, output_);
 }
 
@@ -323,7 +326,7 @@
                          output_);
     } else {
         const std::string& outcome = request->last_outcome;
-        completion_.fail(*request, kBadGateway, TerminationReason::attempts,
+        completion_.fail(*request, kBadGateway, TerminationReason::attempts_failed,
                          "the servers failed this request" + (outcome.empty() ? "" : " (" + outcome + ")"),
                          now_, output_);
     }
@@ -342,7 +345,7 @@
     if (call.attempt != action.attempt) return;
     const bool answer_counts = call.prefill && call.written() && !request->finished();
     if (!answer_counts || !parts_.protocol->half_close_cancels())
-        return attempts_.abort(call.id, Ending::cancelled, "called off", now_, output_);
+        return attempts_.abort(call.id, ExchangeEnd::cancelled, "called off", now_, output_);
     if (std::exchange(call.half_closed, true)) return;
     output_.emit(HalfCloseCall{call.id});
     parts_.calls.set_timer(call, now_ + parts_.settings.limits.cancel_wait);
@@ -363,19 +366,19 @@
 void Edge::apply(const MigrateStream& action) {
     ActiveRequest* const request = parts_.requests.find(action.id);
     if (request == nullptr || request->phase != RequestPhase::streaming) return;
-    if (!request->attempt || !parts_.settings.module.stream_resumption_enabled) return;
+    if (!request->attempt || !parts_.settings.router.stream_resumption_enabled) return;
     const CallId id = *request->attempt;
-    output_.emit(CallAbort{id});
+    output_.emit(AbortCall{id});
     output_.emit(AbortStream{request->client});
-    completion_.finish(*request, Termination::failed, 0, TerminationReason::moved, now_, output_);
-    attempts_.end(id, Ending::cancelled, "moved", now_, output_);
+    completion_.finish(*request, Termination::failed, 0, TerminationReason::stream_migrated, now_, output_);
+    attempts_.end(id, ExchangeEnd::cancelled, "moved", now_, output_);
 }
 
 void Edge::apply(const Reserve& action) {
     const ActiveRequest* const request = parts_.requests.find(action.id);
     if (request == nullptr || request->finished() || !parts_.endpoints.is_up(action.server.value)) return;
     auto message = parts_.protocol->reservation_request(request->parsed.name);
-    if (!message || !parts_.settings.module.early_reservation_enabled) return;
+    if (!message || !parts_.settings.router.early_reservation_enabled) return;
     UpstreamCall& call =
         parts_.calls.begin(CallKind::reservation, *parts_.endpoints.find(action.server.value),
                            std::move(*message), 0, now_, output_);
@@ -403,10 +406,10 @@
 }
 
 void Edge::expire_call(CallId id) {
-    output_.emit(CallAbort{id});
+    output_.emit(AbortCall{id});
     // Only a cancelled attempt has such a timer.
-    if (parts_.calls.find(id)->kind == CallKind::attempt) end_call(id, Ending::cancelled, "called off");
-    else end_call(id, Ending::timed_out, "");
+    if (parts_.calls.find(id)->kind == CallKind::attempt) end_call(id, ExchangeEnd::cancelled, "called off");
+    else end_call(id, ExchangeEnd::timed_out, "");
 }
 
 void Edge::on_timer(ActiveRequest& request) {
@@ -420,8 +423,8 @@
     const UpstreamCall& attempt = *parts_.calls.find(*request.attempt);
     const StreamLimit limit = stream_limit(request, parts_.settings.limits, attempt.paused, now_);
     if (!limit.reached(now_)) return parts_.requests.set_timer(request, limit.next_check());
-    attempts_.abort(attempt.id, Ending::timed_out, now_ >= limit.end ? "time is over" : "silent stream", now_,
-                    output_);
+    attempts_.abort(attempt.id, ExchangeEnd::timed_out, now_ >= limit.end ? "time is over" : "silent stream",
+                    now_, output_);
 }
 
 void Edge::check_attempt(ActiveRequest& request) {
@@ -434,7 +437,7 @@
         parts_.requests.set_timer(request, now_ + deadline_grace());
         ActiveRequests::mark_overdue(request);
     }
-    attempts_.abort(attempt.id, Ending::timed_out, timeout ? "time-out" : "deadline", now_, output_);
+    attempts_.abort(attempt.id, ExchangeEnd::timed_out, timeout ? "time-out" : "deadline", now_, output_);
 }
 
 // The time of what is held may be over while an attempt is in flight.
@@ -443,7 +446,7 @@
     if (attempt.status != 0 || !release || now_ < *release) return attempts_.set_timer(request, attempt);
     parts_.requests.set_timer(request, attempt_deadline(request, attempt));
     if (parts_.kv_states.holds_state(request.id) && !may_have_arrived(*parts_.protocol, attempt))
-        return attempts_.abort(attempt.id, Ending::cancelled, "no connection in the state's time", now_,
+        return attempts_.abort(attempt.id, ExchangeEnd::cancelled, "no connection in the state's time", now_,
                                output_);
     if (!parts_.kv_states.release_covers_request()) return;
     parts_.kv_states.release_beside_attempt(request.id, ReleaseReason::decode_unanswered, now_, output_);
--- a/src/core/edge.hpp
+++ b/src/core/edge.hpp
@@ -72,7 +72,7 @@
     [[nodiscard]] std::optional<Time> next_wake() const;
     // To be called when a call's connection is ready, before its first byte is handed over: may the call
     // still begin? Updates the headers that carry the time left. A call withheld by this is to be reported as
-    // CallFailed with Ending::expired.
+    // CallFailed with ExchangeEnd::expired.
     [[nodiscard]] bool may_begin(Time now, CallId call, http::Headers& headers) const;
     [[nodiscard]] Gauges gauges() const;
     // The listed endpoints, for operators.
@@ -88,7 +88,7 @@
     void on(const CallWritten& input);
     void on(CallHead& input);
     void on(CallBody& input);
-    void on(const CallDone& input) { end_call(input.call, engine::Ending::answered, ""); }
+    void on(const CallDone& input) { end_call(input.call, engine::ExchangeEnd::response_received, ""); }
     void on(const CallFailed& input);
     void on(const membership::EndpointList& input);
     void on(const CacheEventMessage& input) { parts_.cache_index.apply(input, now_, output_); }
@@ -116,10 +116,10 @@
     void resume_deferred(RequestId id);
 
     // ---- calls ----
-    void end_call(CallId id, engine::Ending ending, const std::string& detail);
-    void end_reservation(const UpstreamCall& call, engine::Ending ending);
-    void end_health_check(const UpstreamCall& call, engine::Ending ending);
-    void end_verification(const UpstreamCall& call, engine::Ending ending);
+    void end_call(CallId id, engine::ExchangeEnd ending, const std::string& detail);
+    void end_reservation(const UpstreamCall& call, engine::ExchangeEnd ending);
+    void end_health_check(const UpstreamCall& call, engine::ExchangeEnd ending);
+    void end_verification(const UpstreamCall& call, engine::ExchangeEnd ending);
     void begin_verifications();
 
     // ---- timers ----
@@ -131,7 +131,7 @@
     void check_unanswered_attempt(ActiveRequest& request, const UpstreamCall& attempt);
     void check_deadline(ActiveRequest& request);
     // What the router gets to react to a deadline before the core answers by itself.
-    [[nodiscard]] Duration deadline_grace() const { return 2 * parts_.settings.module.tick; }
+    [[nodiscard]] Duration deadline_grace() const { return 2 * parts_.settings.router.tick; }
 
     CoreParts parts_;
     RouterHost router_;
--- a/src/core/effects.hpp
+++ b/src/core/effects.hpp
@@ -1,4 +1,4 @@
-// What the network layer is to do, as returned by Edge::step(), in order. Plain data, no I/O.
+// The outputs of Edge::step(): what the network layer has to do, in order. Plain data, no I/O.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 // ---- to clients ----
 
-// Sends a whole response.
+// Sends a complete response.
 struct SendResponse {
     ClientId client;
     int status = 200;
@@ -23,15 +23,15 @@
     std::string body;
 };
 // Starts a streamed response with status 200.
-struct StreamBegin {
+struct BeginStream {
     ClientId client;
     http::Headers headers;
 };
-struct StreamBytes {
+struct SendStreamBytes {
     ClientId client;
     std::string bytes;
 };
-struct StreamEnd {
+struct EndStream {
     ClientId client;
 };
 // Closes the client's connection without the end of the stream.
@@ -46,7 +46,8 @@
     release,      // releases a reserved KV state
     reservation,  // reserves capacity at a decode server
     health_check,
-    verify,  // only a connection whose server has proved its name, with no request; done or failed
+    verify,  // opens a TLS connection to verify the server's name, without a request; ends in CallDone or
+             // CallFailed
 };
 // Begins an HTTP exchange with a server.
 struct Call {
@@ -59,17 +60,17 @@
     std::string target;
     http::Headers headers;
     std::string body;
-    double priority = 0;  // of the calls that wait for a handshake, the highest goes first
+    double priority = 0;  // calls that wait for a handshake are served by descending priority
 };
-// Closes the call's connection, or takes the call out of its queue; nothing more is reported of it.
-struct CallAbort {
+// Closes the call's connection, or removes the call from its queue. Nothing more is reported of the call.
+struct AbortCall {
     CallId call;
 };
-// Closes the sending side of the call's connection; what still comes of its response is reported.
+// Closes the sending side of the call's connection. The rest of its response is still reported.
 struct HalfCloseCall {
     CallId call;
 };
-// All that was wanted of the response is here; its connection may be reused once the response has ended.
+// The core needs no more of the response. The connection may be reused once the response has ended.
 struct CompleteCall {
     CallId call;
 };
@@ -81,7 +82,7 @@
 
 // ---- cache events ----
 
-// Subscribes to a server's cache events; for one that is subscribed to, at other addresses than before.
+// Subscribes to a server's cache events, or moves an existing subscription to other addresses.
 struct SubscribeCacheEvents {
     std::string server;
     Address events;
@@ -95,7 +96,7 @@
     std::string server;
     std::uint64_t from = 0;
 };
-// Stores the snapshot in place of the server's former one.
+// Stores the snapshot, replacing the server's previous one.
 struct StoreCacheSnapshot {
     std::string server;
     std::string snapshot;
@@ -104,10 +105,11 @@
     std::string server;
 };
 
-// ---- the rest ----
+// ---- endpoints and records ----
 
-// The server is off the list and the core holds nothing of it any more.
-struct EndpointForgotten {
+// Frees what the network layer keeps for a server that was removed from the list; the core keeps no state of
+// it any more.
+struct ForgetEndpoint {
     std::string server;
 };
 // Writes the record to the log and counts it in the metrics.
@@ -116,8 +118,8 @@
 };
 
 using Output =
-    std::variant<SendResponse, StreamBegin, StreamBytes, StreamEnd, AbortStream, Call, CallAbort,
+    std::variant<SendResponse, BeginStream, SendStreamBytes, EndStream, AbortStream, Call, AbortCall,
                  HalfCloseCall, CompleteCall, SetCallPaused, SubscribeCacheEvents, UnsubscribeCacheEvents,
-                 ReplayCacheEvents, StoreCacheSnapshot, DropCacheSnapshot, EndpointForgotten, EmitRecord>;
+                 ReplayCacheEvents, StoreCacheSnapshot, DropCacheSnapshot, ForgetEndpoint, EmitRecord>;
 
 }  // namespace chalksail::core
--- a/src/core/handles.hpp
+++ b/src/core/handles.hpp
@@ -1,4 +1,4 @@
-// Numbers by which the core and the network layer name what the other owns.
+// Identifiers that the core and the network layer use for each other's objects.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -6,9 +6,9 @@
 
 namespace chalksail::core {
 
-// One connection of a client with one request in hand; chosen by the network layer.
+// Identifies a client connection with one open request; assigned by the network layer.
 using ClientId = Strong<struct ClientTag, std::uint64_t>;
-// One HTTP exchange with a server; chosen by the core, counted from 1.
+// Identifies one HTTP exchange with a server; assigned by the core, counted from 1.
 using CallId = Strong<struct CallTag, std::uint64_t>;
 
 }  // namespace chalksail::core
--- a/src/core/inputs.hpp
+++ b/src/core/inputs.hpp
@@ -1,4 +1,4 @@
-// What the network layer reports to the core: values of Edge::step(). Plain data, no I/O.
+// The inputs of Edge::step(): what the network layer reports to the core. Plain data, no I/O.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 // ---- clients ----
 
-// A whole request of a client.
+// A complete request of a client.
 struct ClientRequest {
     ClientId client;
     http::Request request;
@@ -23,9 +23,9 @@
 // The client disconnected, or the network layer closed its connection.
 struct ClientClosed {
     ClientId client;
-    std::string detail = {};  // for the log: which side closed it, and with what error
+    std::string detail = {};  // for the log: which side closed it, and the error
 };
-// The bytes that wait to be written to the client have passed the limit, or are below it again.
+// The bytes queued for the client have exceeded the limit, or have fallen below it again.
 struct ClientBacklog {
     ClientId client;
     bool full = false;
@@ -52,14 +52,14 @@
     CallId call;
     std::string bytes;
 };
-// The response came to its proper end.
+// The response has been received completely.
 struct CallDone {
     CallId call;
 };
-// The call ended without a whole response.
+// The call ended without a complete response.
 struct CallFailed {
     CallId call;
-    engine::Ending ending = engine::Ending::closed;
+    engine::ExchangeEnd ending = engine::ExchangeEnd::connection_closed;
     std::string detail;
 };
 
@@ -72,7 +72,7 @@
     std::string payload;
     bool replayed = false;
 };
-// A replay has delivered all that the server has, or can't be had.
+// A replay has delivered all the events that the server retains, or is not available.
 struct CacheReplayEnded {
     std::string server;
 };
@@ -85,13 +85,13 @@
 
 // The certificates that servers are verified against have changed.
 struct TrustStoreChanged {};
-// This gateway ends soon: requests taken from now on are answered by the deadline.
+// This gateway shuts down soon: requests accepted from now on must be answered by the deadline.
 struct ShutdownAnnounced {
     Time answer_deadline;
 };
-// No new request is taken from now on.
+// No new request is accepted from now on.
 struct DrainStarted {};
-// Every request gets its final answer now.
+// The time for draining is over: every open request gets its final response now.
 struct DrainExpired {};
 
 using Input =
--- a/src/core/platform_protocol.cpp
+++ b/src/core/platform_protocol.cpp
@@ -10,8 +10,8 @@
 namespace chalksail::core {
 namespace {
 
-Answer error_answer(int status, std::string_view message) {
-    Answer out;
+ClientResponse error_answer(int status, std::string_view message) {
+    ClientResponse out;
     out.status = status;
     out.headers.add("Content-Type", "application/json");
     out.body = platform::format_error(message);
@@ -33,7 +33,7 @@
         }
         return out;
     }
-    [[nodiscard]] bool whole() const override { return reader_->done(); }
+    [[nodiscard]] bool complete() const override { return reader_->done(); }
 
 private:
     std::shared_ptr<platform::EventReader> reader_;
@@ -57,20 +57,20 @@
     Request& operator=(const Request&) = delete;
 
     // Prefill and decode servers get the same: the request's id is enough to find its KV state.
-    [[nodiscard]] ServerRequest prefill_request(std::int64_t, Duration time_left) const override {
-        return server_request(time_left);
+    [[nodiscard]] ServerRequest prefill_request(std::int64_t, Duration time_remaining) const override {
+        return server_request(time_remaining);
     }
     [[nodiscard]] ServerRequest decode_request(std::int64_t, const std::string&,
-                                               Duration time_left) const override {
-        return server_request(time_left);
+                                               Duration time_remaining) const override {
+        return server_request(time_remaining);
     }
     [[nodiscard]] std::unique_ptr<DecodeResponseParser> decode_parser() override {
         auto reader = std::make_shared<platform::EventReader>(owner_.settings_.limits.event_bytes);
         reader_ = reader;
         return std::make_unique<PlatformEvents>(std::move(reader));
     }
-    void update_time_left(http::Headers& headers, Duration time_left) const override {
-        headers.set(platform::kTimeLeftHeader, platform::format_time_left(time_left));
+    void update_time_remaining(http::Headers& headers, Duration time_remaining) const override {
+        headers.set(platform::kTimeRemainingHeader, platform::format_time_remaining(time_remaining));
     }
     void drop_request() override { std::string().swap(body_); }
 
@@ -90,25 +90,27 @@
     [[nodiscard]] std::optional<std::string> stream_error(int, const std::string&) const override {
         return std::nullopt;
     }
-    [[nodiscard]] Answer rejection(Duration retry_after) const override {
+    [[nodiscard]] ClientResponse rejection(Duration retry_after) const override {
         auto out = error_answer(503, "no room to serve this in time; nothing was done");
         if (retry_after > Duration::zero())
             out.headers.add("Retry-After", platform::format_retry_after(retry_after));
         return out;
     }
-    [[nodiscard]] Answer failure(int status, const std::string& message, bool) const override {
+    [[nodiscard]] ClientResponse failure(int status, const std::string& message, bool) const override {
         return error_answer(status, message);
     }
-    [[nodiscard]] Answer server_rejection(int status, const ResponseHead&, std::string) const override {
+    [[nodiscard]] ClientResponse server_rejection(int status, const ResponseHead&,
+                                                  std::string) const override {
         return error_answer(status, "the model server turned it down");
     }
 
 private:
-    [[nodiscard]] ServerRequest server_request(Duration time_left) const {
+    [[nodiscard]] ServerRequest server_request(Duration time_remaining) const {
         ServerRequest out{method_, target_, {}, body_};
         out.headers.add("Content-Type", "application/json");
         out.headers.add(std::string(platform::kIdHeader), id_);
-        out.headers.add(std::string(platform::kTimeLeftHeader), platform::format_time_left(time_left));
+        out.headers.add(std::string(platform::kTimeRemainingHeader),
+                        platform::format_time_remaining(time_remaining));
         // Servers recognize repeats by this key, and drop them.
         if (!idempotency_key_.empty())
             out.headers.add(std::string(platform::kIdempotencyHeader), idempotency_key_);
@@ -126,10 +128,10 @@
 
 // ================= clients =================
 
-std::optional<Answer> PlatformProtocol::answer(const http::Request& request, bool draining) const {
+std::optional<ClientResponse> PlatformProtocol::answer(const http::Request& request, bool draining) const {
     const auto path = request.path();
     if (path == platform::kReadyPath)
-        return draining ? error_answer(503, "going away") : Answer{200, {}, "ready\n"};
+        return draining ? error_answer(503, "going away") : ClientResponse{200, {}, "ready\n"};
     if (path != platform::kChatPath) return error_answer(404, "no such path");
     if (request.method != "POST") return error_answer(405, "use POST");
     return std::nullopt;
@@ -142,9 +144,9 @@
                   std::string(request.headers.get(platform::kIdHeader)),
                   {}};
     if (draining) out.answer.headers.add("Connection", "close");
-    else if (settings_.module.max_retry_after > Duration::zero())
+    else if (settings_.router.max_retry_after > Duration::zero())
         out.answer.headers.add("Retry-After",
-                               platform::format_retry_after(settings_.module.max_retry_after / 2));
+                               platform::format_retry_after(settings_.router.max_retry_after / 2));
     return out;
 }
 
@@ -154,7 +156,7 @@
     };
     auto decoded = platform::read_request(request);
     if (!decoded) return reject(400, decoded.error());
-    const auto& classes = settings_.module.classes;
+    const auto& classes = settings_.router.classes;
     const auto cls = std::find_if(classes.begin(), classes.end(),
                                   [&](const auto& c) { return c.name == decoded->class_name; });
     if (cls == classes.end()) return reject(400, "X-Service-Class: no such class");
@@ -166,7 +168,7 @@
     out.tenant = std::move(decoded->tenant);
     out.session = decoded->session.empty() ? decoded->id : std::move(decoded->session);
     out.prefix = std::move(decoded->prefix);
-    out.deadline = decoded->time_left;
+    out.deadline = decoded->time_remaining;
     out.prompt_tokens = decoded->prompt_tokens;
     out.shared_tokens = decoded->shared_tokens;
     out.max_output = decoded->max_output;
@@ -182,7 +184,7 @@
 ResponseHead PlatformProtocol::read_head(int status, const http::Headers& headers) const {
     ResponseHead out;
     if (headers.get(platform::kNotRunHeader) == "1")
-        out.not_run = status == 410 ? engine::NotRun::no_state : engine::NotRun::full;
+        out.not_run = status == 410 ? engine::NotRun::kv_state_missing : engine::NotRun::at_capacity;
     return out;
 }
 
@@ -191,32 +193,39 @@
     return PrefillResult{{}, 0, platform::parse_cached_tokens(body)};
 }
 
-engine::Judgement PlatformProtocol::judge(const engine::Facts& observed, const std::string&) const {
-    platform::Facts facts;
+engine::AttemptClassification PlatformProtocol::classify(const engine::AttemptObservation& observed,
+                                                         const std::string&) const {
+    platform::AttemptObservation observation;
     switch (observed.ending) {
-        case engine::Ending::answered: facts.ended = platform::Ended::answered; break;
-        case engine::Ending::no_resources:
-        case engine::Ending::expired:
+        case engine::ExchangeEnd::response_received:
+            observation.ending = platform::ExchangeEnd::response_received;
+            break;
+        case engine::ExchangeEnd::no_resources:
+        case engine::ExchangeEnd::expired:
             // A fault of this machine says nothing of the server: as if the attempt had never been made.
             if (!observed.sent) return {AttemptOutcome::not_sent, false, false};
-            facts.ended = platform::Ended::broke;
+            observation.ending = platform::ExchangeEnd::connection_closed;
+            break;
+        case engine::ExchangeEnd::dial_failed:
+        case engine::ExchangeEnd::unverified:
+        case engine::ExchangeEnd::withdrawn: observation.ending = platform::ExchangeEnd::no_connection; break;
+        case engine::ExchangeEnd::connection_closed:
+            observation.ending = platform::ExchangeEnd::connection_closed;
+            break;
+        case engine::ExchangeEnd::malformed_response:
+            observation.ending = platform::ExchangeEnd::malformed_response;
             break;
-        case engine::Ending::dial_failed:
-        case engine::Ending::unverified:
-        case engine::Ending::withdrawn: facts.ended = platform::Ended::no_connection; break;
-        case engine::Ending::closed: facts.ended = platform::Ended::broke; break;
-        case engine::Ending::bad_answer: facts.ended = platform::Ended::malformed; break;
-        case engine::Ending::timed_out: facts.ended = platform::Ended::timed_out; break;
-        case engine::Ending::cancelled: facts.ended = platform::Ended::cancelled; break;
+        case engine::ExchangeEnd::timed_out: observation.ending = platform::ExchangeEnd::timed_out; break;
+        case engine::ExchangeEnd::cancelled: observation.ending = platform::ExchangeEnd::cancelled; break;
     }
-    facts.written = observed.written;
-    facts.prefill = observed.prefill;
-    facts.started = observed.started;
-    facts.complete = observed.complete;
-    facts.status = observed.status;
-    facts.not_run = observed.not_run != engine::NotRun::unknown;
-    const auto judgement = platform::judge(facts);
-    return {judgement.outcome, judgement.kv_state_missing, false};
+    observation.written = observed.written;
+    observation.prefill = observed.prefill;
+    observation.started = observed.started;
+    observation.complete = observed.complete;
+    observation.status = observed.status;
+    observation.not_run = observed.not_run != engine::NotRun::unknown;
+    const auto classification = platform::classify(observation);
+    return {classification.outcome, classification.kv_state_missing, false};
 }
 
 std::optional<ServerRequest> PlatformProtocol::release(const std::string& name, std::int64_t,
--- a/src/core/protocol.hpp
+++ b/src/core/protocol.hpp
@@ -1,12 +1,12 @@
-// The seam between a request's life (edge.hpp) and the protocol spoken with clients and servers.
+// The interface between request handling (edge.hpp) and the protocol spoken with clients and servers.
 //
-// A protocol encodes and decodes; it decides nothing, sends nothing and keeps no time. There are two: vLLM's
-// disaggregated prefill with an OpenAI-style front (vllm_protocol.hpp), and the users' platform
-// (platform_protocol.hpp). The settings choose.
+// A protocol only encodes and decodes: it makes no routing decisions, does no I/O and uses no clock. There
+// are two implementations: vLLM's disaggregated prefill with OpenAI-style clients (vllm_protocol.hpp), and
+// the users' platform (platform_protocol.hpp). The settings select one.
 //
 // Ownership: one Protocol for each Edge, one ProtocolSession for each request, one DecodeResponseParser for
-// each decode attempt; a session must not outlive its protocol. No I/O; not thread-safe. Malformed bytes
-// become answers and outcomes, never an exception.
+// each decode attempt; a session must not outlive its protocol. Not thread-safe. Malformed input results in
+// error responses and outcomes, never in an exception.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -23,8 +23,8 @@
 
 namespace chalksail::core {
 
-// A whole response to a client.
-struct Answer {
+// A complete response to a client.
+struct ClientResponse {
     int status = 200;
     http::Headers headers;
     std::string body;
@@ -37,14 +37,14 @@
     std::string body;
 };
 
-// What a prefill server's response says.
+// The content of a prefill server's response.
 struct PrefillResult {
-    std::string state;                    // names the KV state; empty: the request's name is enough
+    std::string state;                    // identifies the KV state; empty: the request's name identifies it
     double prompt_tokens = 0;             // 0: not reported
     std::optional<double> cached_tokens;  // prompt tokens found in the prefix cache
 };
 
-// What the head of a server's response says beside its status.
+// The content of a server's response head, other than its status.
 struct ResponseHead {
     engine::NotRun not_run = engine::NotRun::unknown;
     std::vector<double> load_report;  // as Settings::report_fields say; empty: none
@@ -55,79 +55,82 @@
 class DecodeResponseParser {
 public:
     enum class State {
-        more,      // of the response is to come
-        whole,     // all is here, before the response's own end; what follows is of no interest
-        malformed  // it can't be used
+        incomplete,  // more of the response is expected
+        complete,    // all events have arrived, before the end of the HTTP response; the rest is ignored
+        malformed    // the response can't be used
     };
     struct Progress {
-        State state = State::more;
-        std::string to_client;    // the events that became whole, as the client gets them
-        std::int64_t events = 0;  // that became whole, also those that the client does not get
-        std::string detail;       // of what is malformed
+        State state = State::incomplete;
+        std::string to_client;    // the events completed by these bytes, as forwarded to the client
+        std::int64_t events = 0;  // completed events, including those that are not forwarded
+        std::string detail;       // what is malformed, for the log
     };
     virtual ~DecodeResponseParser() = default;
     [[nodiscard]] virtual Progress feed(std::string_view bytes) = 0;
-    // Has the response come to its proper end?
-    [[nodiscard]] virtual bool whole() const = 0;
+    // Returns true once the response has been received to its proper end.
+    [[nodiscard]] virtual bool complete() const = 0;
 };
 
-// One request's messages, to servers and back to its client.
+// Encodes and decodes the messages of one request, to servers and to its client.
 class ProtocolSession {
 public:
     virtual ~ProtocolSession() = default;
 
     // ---- to servers ----
 
-    // `time_left`: until the client's deadline.
-    [[nodiscard]] virtual ServerRequest prefill_request(std::int64_t attempt, Duration time_left) const = 0;
-    // `state`: as in PrefillResult; empty: the decode server does the prefill by itself.
+    // `time_remaining` is the time until the client's deadline.
+    [[nodiscard]] virtual ServerRequest prefill_request(std::int64_t attempt,
+                                                        Duration time_remaining) const = 0;
+    // `state` is that of PrefillResult; if empty, the decode server does the prefill itself.
     [[nodiscard]] virtual ServerRequest decode_request(std::int64_t attempt, const std::string& state,
-                                                       Duration time_left) const = 0;
-    // Updates the headers of an attempt that waited for its connection.
-    virtual void update_time_left(http::Headers&, Duration) const {}
+                                                       Duration time_remaining) const = 0;
+    // Updates the headers of an attempt that had to wait for its connection.
+    virtual void update_time_remaining(http::Headers&, Duration) const {}
     [[nodiscard]] virtual std::unique_ptr<DecodeResponseParser> decode_parser() = 0;
-    // No further attempt is sent: frees what only attempts need.
+    // Frees what only attempts need. No further attempt may be sent after this.
     virtual void drop_request() = 0;
 
-    // ---- figures ----
+    // ---- token counts ----
 
-    // The text that servers' cache events name the blocks of; empty: unknown.
+    // Returns the prompt text whose blocks servers name in their cache events; empty if it is unknown.
     [[nodiscard]] virtual std::string prompt_text() const { return {}; }
-    // A server has counted the prompt.
+    // Sets the number of prompt tokens that a server reported.
     virtual void set_prompt_tokens(double) {}
-    // As the decode response reported them; 0: not reported.
+    // The counts that the decode response reported; 0: not reported.
     [[nodiscard]] virtual double reported_prompt_tokens() const { return 0; }
     [[nodiscard]] virtual double completion_tokens() const { return 0; }
     [[nodiscard]] virtual double cached_tokens() const { return 0; }
 
     // ---- to the client ----
 
-    // Does its client get a stream? Else one answer at the end: collected().
+    // Returns true if the client gets a stream. Otherwise it gets one response at the end, collected().
     [[nodiscard]] virtual bool streams() const { return true; }
-    [[nodiscard]] virtual Answer collected() { return {}; }
+    [[nodiscard]] virtual ClientResponse collected() { return {}; }
     [[nodiscard]] virtual http::Headers stream_head() const = 0;
     [[nodiscard]] virtual std::string stream_tail() const { return {}; }
-    // Ends a stream that broke; nothing: the client's connection is closed.
+    // Returns the bytes that end a broken stream, or nothing if the client's connection is closed instead.
     [[nodiscard]] virtual std::optional<std::string> stream_error(int status,
                                                                   const std::string& message) const = 0;
-    // The request was not run and may be retried. `retry_after`: zero: no hint.
-    [[nodiscard]] virtual Answer rejection(Duration retry_after) const = 0;
-    // `retryable`: its client may retry without harm.
-    [[nodiscard]] virtual Answer failure(int status, const std::string& message, bool retryable) const = 0;
-    // A server found the request itself at fault (4xx).
-    [[nodiscard]] virtual Answer server_rejection(int status, const ResponseHead& head,
-                                                  std::string body) const = 0;
+    // Returns the response to a request that was not run and may be retried. `retry_after` is zero for no
+    // hint.
+    [[nodiscard]] virtual ClientResponse rejection(Duration retry_after) const = 0;
+    // Returns an error response. `retryable` is true if the client can safely retry.
+    [[nodiscard]] virtual ClientResponse failure(int status, const std::string& message,
+                                                 bool retryable) const = 0;
+    // Returns the response to a request that a server rejected as invalid (4xx).
+    [[nodiscard]] virtual ClientResponse server_rejection(int status, const ResponseHead& head,
+                                                          std::string body) const = 0;
 };
 
 // A client's request, decoded.
 struct ParsedRequest {
-    std::string name;                 // towards servers, and in logs
-    std::string client_name;          // the client's own, where that is another
+    std::string name;                 // the request's id, used towards servers and in logs
+    std::string client_name;          // the client's own id, if it differs
     std::size_t class_index = 0;      // in the settings' classes
     std::string tenant;               // empty: none
-    std::string session;              // never empty: a request without one is a session of its own
+    std::string session;              // never empty: a request without one forms its own session
     std::string prefix;               // empty: none
-    Duration deadline{};              // the client's, from arrival
+    Duration deadline{};              // the client's deadline, measured from the request's arrival
     Duration output_duration_hint{};  // zero: none
     double prompt_tokens = 0;
     double shared_tokens = 0;
@@ -136,9 +139,9 @@
     bool resumes_stream = false;  // continues a stream that broke
     std::unique_ptr<ProtocolSession> protocol_session;
 };
-// The answer to what is not taken, and its names for the log.
+// The response to a request that is not accepted, and the request's ids for the log.
 struct Rejection {
-    Answer answer;
+    ClientResponse answer;
     std::string name;
     std::string client_name;
 };
@@ -149,10 +152,11 @@
 
     // ---- clients ----
 
-    // Answers what is no request for the servers; nothing: it is one.
-    [[nodiscard]] virtual std::optional<Answer> answer(const http::Request& request, bool draining) const = 0;
+    // Returns the gateway's own response, or nothing if the request is to be routed to the servers.
+    [[nodiscard]] virtual std::optional<ClientResponse> answer(const http::Request& request,
+                                                               bool draining) const = 0;
     enum class RejectionReason { draining, limit };
-    // Rejects a request of which nothing has been done: harmless to retry. `number`: of the request.
+    // Rejects a request that was not started, so that a retry is safe. `number` is the request's number.
     [[nodiscard]] virtual Rejection reject(const http::Request& request, std::uint64_t number,
                                            RejectionReason reason) const = 0;
     [[nodiscard]] virtual tl::expected<ParsedRequest, Rejection> parse(http::Request& request,
@@ -161,37 +165,40 @@
     // ---- responses of servers ----
 
     [[nodiscard]] virtual ResponseHead read_head(int status, const http::Headers& headers) const = 0;
-    // Nothing: it is no response to a prefill.
+    // Returns nothing if it is not a valid prefill response.
     [[nodiscard]] virtual std::optional<PrefillResult> parse_prefill(int status,
                                                                      std::string_view body) const = 0;
-    // Does a server take the end of this side's sending for the cancellation of the attempt, and close after
-    // it? Then an attempt can be cancelled with its response, if that is on its way, still received.
+    // Returns true if a server treats a half-close of the connection by the gateway as a cancellation of the
+    // attempt, and then closes the connection. The response to a cancelled attempt can then still be received
+    // if it is already on its way.
     [[nodiscard]] virtual bool half_close_cancels() const { return false; }
-    [[nodiscard]] virtual engine::Judgement judge(const engine::Facts& facts,
-                                                  const std::string& kind) const = 0;
+    [[nodiscard]] virtual engine::AttemptClassification classify(
+        const engine::AttemptObservation& observation, const std::string& kind) const = 0;
 
     // ---- other calls to servers ----
 
-    // What a release call covers.
+    // What a release call releases.
     enum class ReleaseScope {
-        attempt,  // the KV state that this attempt left, at its own server
-        request,  // all that is held for the request, and any server forwards it: takes from an attempt in
-                  // flight, too
+        attempt,  // the KV state that one attempt left at its server
+        request,  // everything reserved for the request on all servers, including what an attempt in flight
+                  // uses; any server accepts the call and forwards it
     };
     [[nodiscard]] virtual ReleaseScope release_covers() const = 0;
-    // Releases what is held for the request of that name; nothing: servers of this kind have no such call.
+    // Returns the call that releases what is reserved for the request of that name, or nothing if servers of
+    // this kind have no such call.
     [[nodiscard]] virtual std::optional<ServerRequest> release(const std::string& name, std::int64_t attempt,
                                                                const std::string& state,
                                                                const std::string& kind) const = 0;
-    // Does this status of a release's response say that the server has no such call?
+    // Returns true if this status of a release response means that the server has no such call.
     [[nodiscard]] virtual bool lacks_release_call(int status) const = 0;
-    // Reserves capacity at a decode server for the request of that name; nothing: there is no such call.
+    // Returns the call that reserves capacity at a decode server for the request of that name, or nothing if
+    // there is no such call.
     [[nodiscard]] virtual std::optional<ServerRequest> reservation_request(const std::string& name) const = 0;
     enum class Reservation { held, not_held, unknown };
-    // What the status of its response says.
+    // Returns what the status of a reservation response means.
     [[nodiscard]] virtual Reservation reservation_state(int status) const = 0;
     [[nodiscard]] virtual ServerRequest health_check_request() const = 0;
-    // The load report in a health check's response; empty: none.
+    // Returns the load report in a health check's response; empty if there is none.
     [[nodiscard]] virtual std::vector<double> health_check_load(const ResponseHead& head,
                                                                 std::string_view body) const = 0;
 };
--- a/src/core/request_completion.cpp
+++ b/src/core/request_completion.cpp
@@ -4,7 +4,7 @@
 
 namespace chalksail::core {
 
-using engine::Ending;
+using engine::ExchangeEnd;
 using observe::Termination;
 using observe::TerminationReason;
 
@@ -17,7 +17,7 @@
 void RequestCompletion::finish(ActiveRequest& request, Termination termination, int status,
                                TerminationReason reason, Time now, StepOutput& output) {
     parts_.requests.finish(request);
-    const std::string& class_name = parts_.settings.module.classes[request.parsed.class_index].name;
+    const std::string& class_name = parts_.settings.router.classes[request.parsed.class_index].name;
     output.record(request.record(class_name, termination, status, reason, now));
     parts_.requests.drop_body(request);
 }
@@ -45,14 +45,15 @@
     if (result.client_error()) {
         const ProtocolSession& session = *request.parsed.protocol_session;
         send_response(request.client, session.server_rejection(call.status, call.head, call.body), output);
-        finish(request, Termination::rejected, call.status, TerminationReason::engine, now, output);
+        finish(request, Termination::rejected, call.status, TerminationReason::rejected_by_engine, now,
+               output);
     } else if (result.ok()) {
         send_end_of_answer(request, output);
         finish(request, Termination::served, kOk, TerminationReason::served, now, output);
     } else if (request.stream_started()) {
-        const bool timed_out = result.ending == Ending::timed_out;
+        const bool timed_out = result.ending == ExchangeEnd::timed_out;
         fail(request, timed_out ? kGatewayTimeout : kBadGateway,
-             timed_out ? TerminationReason::stream_time : TerminationReason::broken_stream,
+             timed_out ? TerminationReason::stream_timeout : TerminationReason::broken_stream,
              "the answer broke off: " + (detail.empty() ? request.last_outcome : detail), now, output);
     }
 }
--- a/src/core/request_intake.cpp
+++ b/src/core/request_intake.cpp
@@ -22,11 +22,11 @@
     const std::size_t body_bytes = input.request.body.size();
     if (!parts_.requests.has_capacity(body_bytes))
         return reject(input.client, parts_.protocol->reject(input.request, number, Reason::limit),
-                      Termination::refused, TerminationReason::limit, output);
+                      Termination::refused, TerminationReason::over_limit, output);
     auto parsed = parts_.protocol->parse(input.request, number);
     if (!parsed)
         return reject(input.client, std::move(parsed.error()), Termination::rejected,
-                      TerminationReason::invalid, output);
+                      TerminationReason::invalid_request, output);
     start_request(input.client, std::move(*parsed), number, body_bytes, now, output);
 }
 
@@ -44,7 +44,7 @@
 
 void RequestIntake::start_request(ClientId client, ParsedRequest parsed, std::uint64_t number,
                                   std::size_t body_bytes, Time now, StepOutput& output) {
-    const Settings& settings = parts_.settings.module;
+    const Settings& settings = parts_.settings.router;
     auto request = std::make_unique<ActiveRequest>();
     request->id = {number};
     request->client = client;
@@ -70,7 +70,7 @@
     const ParsedRequest& parsed = request.parsed;
     RequestArrived arrived;
     arrived.id = request.id;
-    arrived.class_name = parts_.settings.module.classes[parsed.class_index].name;
+    arrived.class_name = parts_.settings.router.classes[parsed.class_index].name;
     arrived.tenant = parsed.tenant;
     arrived.session = parsed.session;
     arrived.prefix = parsed.prefix;
