--- a/src/core/reserved_kv_states.cpp
+++ b/src/core/reserved_kv_states.cpp
@@ -7,9 +7,9 @@
 
 namespace chalksail::core {
 
-using engine::Ending;
-using observe::HeldAction;
-using observe::HeldRecord;
+using engine::ExchangeEnd;
+using observe::KvReservationAction;
+using observe::KvReservationRecord;
 using observe::ReleaseReason;
 using observe::ServerAction;
 using observe::ServerRecord;
@@ -50,15 +50,16 @@
     entry.held = KvReservation{server == nullptr ? membership::EndpointConfig{} : *server, state,
                                prefill.attempt.value, now};
     held_count_ += 1;
-    output.record(HeldRecord{entry.name, HeldAction::held, prefill.server, ReleaseReason::none, Duration{}});
+    output.record(KvReservationRecord{entry.name, KvReservationAction::reserved, prefill.server,
+                                      ReleaseReason::none, Duration{}});
 }
 
 void ReservedKvStates::mark_fetched(RequestId id, const std::string& decode_server, Time now,
                                     StepOutput& output) {
     Entry& entry = *find(id);
     if (entry.held) {
-        output.record(HeldRecord{entry.name, HeldAction::fetched, decode_server, ReleaseReason::none,
-                                 now - entry.held->since});
+        output.record(KvReservationRecord{entry.name, KvReservationAction::fetched, decode_server,
+                                          ReleaseReason::none, now - entry.held->since});
         entry.held.reset();
         held_count_ -= 1;
     }
@@ -86,7 +87,7 @@
     Time since = Time::max();
     if (entry.held) since = entry.held->since;
     if (entry.pending) since = std::min(since, entry.pending->since);
-    return since + settings_.module.release_within;
+    return since + settings_.router.release_within;
 }
 
 void ReservedKvStates::make_pending(RequestId id, Entry& entry, ReleaseReason reason) {
@@ -101,7 +102,7 @@
     Entry& entry = *find(id);
     // The decode server could not fetch the state. Its prefill server may have it all the same.
     const bool not_fetched =
-        result.outcome() == AttemptOutcome::at_capacity && result.judgement.kv_state_missing;
+        result.outcome() == AttemptOutcome::at_capacity && result.classification.kv_state_missing;
     if (not_fetched && entry.held) {
         if (release_covers_request()) make_pending(id, entry, ReleaseReason::not_fetched);
         else release(id, ReleaseReason::not_fetched, now, output);
@@ -126,18 +127,20 @@
     pending_.push_back(id);
 }
 
-bool ReservedKvStates::release_ended(const UpstreamCall& call, Ending ending, Time now, StepOutput& output) {
+bool ReservedKvStates::release_ended(const UpstreamCall& call, ExchangeEnd ending, Time now,
+                                     StepOutput& output) {
     const auto in_flight = release_calls_.extract(call.id);
     assert(!in_flight.empty());
     const ReleaseCall& release = in_flight.mapped();
-    const bool answered = ending == Ending::answered;
+    const bool answered = ending == ExchangeEnd::response_received;
     const bool has_none = answered && protocol_.lacks_release_call(call.status);
     const bool done = answered && call.status < kFirstFailureStatus;
     if (has_none) without_release_.insert(call.server);
     const char* const result = done ? "ok" : has_none ? "none" : "failed";
     output.record(ServerRecord{call.server, ServerAction::release, result});
-    output.record(HeldRecord{release.name, done ? HeldAction::release_done : HeldAction::release_failed,
-                             call.server, release.reason, now - release.held_since});
+    output.record(KvReservationRecord{
+        release.name, done ? KvReservationAction::release_succeeded : KvReservationAction::release_failed,
+        call.server, release.reason, now - release.held_since});
     release.progress->done = release.progress->done || done;
     // Where any server takes it others are called at once: the time to release runs on while one is silent.
     const bool repeat = release_covers_request() && !release.progress->done && release.leads;
@@ -251,8 +254,8 @@
         return std::nullopt;
     }
     release.progress->called.insert(server);
-    output.record(
-        HeldRecord{release.name, HeldAction::release, server, release.reason, now - release.held_since});
+    output.record(KvReservationRecord{release.name, KvReservationAction::release_started, server,
+                                      release.reason, now - release.held_since});
     UpstreamCall& call =
         calls_.begin(CallKind::release, to, std::move(*request), kReleasePriority, now, output);
     call.request = id;
--- a/src/core/reserved_kv_states.hpp
+++ b/src/core/reserved_kv_states.hpp
@@ -76,7 +76,7 @@
     void attempt_ended(RequestId id, const UpstreamCall& call, const AttemptResult& result, Time now,
                        StepOutput& output);
     // Returns whether the request's deferred attempt may go now: see take_ready_attempt().
-    [[nodiscard]] bool release_ended(const UpstreamCall& call, engine::Ending ending, Time now,
+    [[nodiscard]] bool release_ended(const UpstreamCall& call, engine::ExchangeEnd ending, Time now,
                                      StepOutput& output);
     // A reservation that may have been made is released like a state, unless an attempt uses it.
     void reservation_ended(const UpstreamCall& call, Time now);
--- a/src/core/routing_policy.cpp
+++ b/src/core/routing_policy.cpp
@@ -6,7 +6,7 @@
 
 class RouterPolicy : public RoutingPolicy {
 public:
-    explicit RouterPolicy(const config::EdgeSettings& settings) : router_(settings.module, settings.seed) {}
+    explicit RouterPolicy(const config::EdgeSettings& settings) : router_(settings.router, settings.seed) {}
     std::vector<Action> step(Time now, std::span<const Event> events) override {
         return router_.step(now, events);
     }
--- a/src/core/shutdown.cpp
+++ b/src/core/shutdown.cpp
@@ -5,7 +5,7 @@
 Shutdown::Shutdown(Time now, const config::EdgeLimits& limits)
     : begun_(now),
       accept_until_(now + limits.drain_grace),
-      answer_until_(limits.drain == config::kNoLimit ? Time::max() : now + limits.drain),
+      answer_until_(limits.drain_timeout == config::kNoLimit ? Time::max() : now + limits.drain_timeout),
       linger_(limits.linger) {}
 
 Shutdown::Step Shutdown::next(Time now) {
--- a/src/core/vllm_protocol.cpp
+++ b/src/core/vllm_protocol.cpp
@@ -23,7 +23,7 @@
     out.add("Content-Type", "application/json");
     return out;
 }
-Answer error_answer(const chat::ApiError& error, http::Headers headers) {
+ClientResponse error_answer(const chat::ApiError& error, http::Headers headers) {
     headers.add("Content-Type", "application/json");
     return {error.status, std::move(headers), chat::format_error(error)};
 }
@@ -41,7 +41,7 @@
 bool matches(const config::ClassRule& rule, const http::Request& request, const std::string& model) {
     if (!matches(rule.model, model) || !matches(rule.path, request.path())) return false;
     if (rule.header.empty()) return true;
-    return request.headers.has(rule.header) && matches(rule.is, request.headers.get(rule.header));
+    return request.headers.has(rule.header) && matches(rule.header_value, request.headers.get(rule.header));
 }
 
 }  // namespace
@@ -88,7 +88,7 @@
     [[nodiscard]] double completion_tokens() const override { return usage.completion_tokens; }
 
     [[nodiscard]] bool streams() const override { return chat.stream; }
-    [[nodiscard]] Answer collected() override {
+    [[nodiscard]] ClientResponse collected() override {
         auto headers = json_headers();
         headers.add(std::string(engine::kRequestIdHeader), name);
         return {200, std::move(headers), collector->finish()};
@@ -105,7 +105,7 @@
                                                           const std::string& message) const override {
         return chat::format_event(chat::format_error({status, message, "server_error", "", "failed"}));
     }
-    [[nodiscard]] Answer rejection(Duration retry_after) const override {
+    [[nodiscard]] ClientResponse rejection(Duration retry_after) const override {
         http::Headers headers;
         const auto ms = std::max<std::int64_t>(
             1, std::chrono::duration_cast<std::chrono::milliseconds>(retry_after).count());
@@ -117,15 +117,16 @@
                              "server_error", "", "refused"},
                             std::move(headers));
     }
-    [[nodiscard]] Answer failure(int status, const std::string& message, bool retryable) const override {
+    [[nodiscard]] ClientResponse failure(int status, const std::string& message,
+                                         bool retryable) const override {
         auto headers = named(name);
         // The OpenAI clients try again by themselves after any 5xx. What may have run and must not run twice
         // says no.
         if (!retryable) headers.add("X-Should-Retry", "false");
         return error_answer({status, message, "server_error", "", "failed"}, std::move(headers));
     }
-    [[nodiscard]] Answer server_rejection(int status, const ResponseHead& head,
-                                          std::string answer) const override {
+    [[nodiscard]] ClientResponse server_rejection(int status, const ResponseHead& head,
+                                                  std::string answer) const override {
         http::Headers headers;
         headers.add("Content-Type", head.content_type.empty() ? "application/json" : head.content_type);
         headers.add(std::string(engine::kRequestIdHeader), name);
@@ -140,7 +141,8 @@
         out.add(std::string(engine::kAttemptHeader), std::to_string(attempt));
         if (!client_name.empty()) out.add("X-Client-Request-Id", client_name);
         if (!idempotency_key.empty()) out.add(std::string(kIdempotencyHeader), idempotency_key);
-        if (settings->load == config::LoadSource::headers) out.add("endpoint-load-metrics-format", "TEXT");
+        if (settings->load_source == config::LoadSource::headers)
+            out.add("endpoint-load-metrics-format", "TEXT");
         return out;
     }
 };
@@ -160,7 +162,7 @@
             switch (chunk.kind) {
                 case engine::ChunkKind::done:
                     done_ = true;
-                    out.state = State::whole;
+                    out.state = State::complete;
                     return out;
                 case engine::ChunkKind::error: return malformed(std::move(out), "error event");
                 case engine::ChunkKind::broken: return malformed(std::move(out), "not a chunk");
@@ -181,7 +183,7 @@
         if (reader_.overflowed()) return malformed(std::move(out), "event too large");
         return out;
     }
-    [[nodiscard]] bool whole() const override { return done_; }
+    [[nodiscard]] bool complete() const override { return done_; }
 
 private:
     static Progress malformed(Progress out, const char* detail) {
@@ -201,7 +203,7 @@
 }
 
 VllmProtocol::VllmProtocol(const config::EdgeSettings& settings)
-    : settings_(settings), tokens_(settings.module.classes.size(), settings.tokens_per_byte) {}
+    : settings_(settings), tokens_(settings.router.classes.size(), settings.tokens_per_byte) {}
 
 std::string VllmProtocol::name_of(std::uint64_t number) const {
     return settings_.name + "-" + std::to_string(settings_.seed) + "-" + std::to_string(number);
@@ -209,7 +211,7 @@
 
 // ================= clients =================
 
-std::optional<Answer> VllmProtocol::answer(const http::Request& request, bool) const {
+std::optional<ClientResponse> VllmProtocol::answer(const http::Request& request, bool) const {
     const auto path = request.path();
     if (path == engine::kChatPath) {
         if (request.method == "POST") return std::nullopt;
@@ -225,11 +227,11 @@
             list += json::ObjectWriter()
                         .text("id", model)
                         .text("object", "model")
-                        .whole("created", 0)
+                        .integer("created", 0)
                         .text("owned_by", "chalksail")
                         .done();
         }
-        return Answer{200, json_headers(), R"({"object":"list","data":[)" + list + "]}"};
+        return ClientResponse{200, json_headers(), R"({"object":"list","data":[)" + list + "]}"};
     }
     return error_answer({404, "no such path", "invalid_request_error", "", "not_found"}, {});
 }
@@ -264,7 +266,7 @@
     if (!class_index) return reject(class_index.error());
     out.class_index = *class_index;
     std::string idempotency_key{request.headers.get(kIdempotencyHeader)};
-    const RequestClassSettings& settings = settings_.module.classes[out.class_index];
+    const RequestClassSettings& settings = settings_.router.classes[out.class_index];
     if (settings.idempotency == Idempotency::idempotent_by_key && idempotency_key.empty())
         return reject({400, "requests of class '" + settings.name + "' need the header Idempotency-Key",
                        "invalid_request_error", "Idempotency-Key", "missing_key"});
@@ -318,7 +320,7 @@
 
 tl::expected<Duration, chat::ApiError> VllmProtocol::deadline_of(const http::Request& request,
                                                                  std::size_t class_index) const {
-    const Duration deadline = settings_.module.classes[class_index].deadline;
+    const Duration deadline = settings_.router.classes[class_index].deadline;
     const auto text = request.headers.get(kTimeoutHeader);
     if (!settings_.classes[class_index].deadline_header || text.empty()) return deadline;
     std::int64_t wanted_ms = 0;
@@ -342,7 +344,7 @@
     session->chat = std::move(chat);
     session->body = std::move(body);
     if (!session->chat.stream)
-        session->collector = std::make_unique<chat::Collector>(settings_.limits.answer_bytes);
+        session->collector = std::make_unique<chat::Collector>(settings_.limits.response_bytes);
     return session;
 }
 
@@ -352,24 +354,25 @@
     ResponseHead out;
     out.not_run = engine::parse_not_run(headers.get(engine::kNotRunHeader));
     out.content_type = headers.get("content-type");
-    if (settings_.load == config::LoadSource::headers)
+    if (settings_.load_source == config::LoadSource::headers)
         out.load_report = engine::parse_load_header(headers.get(engine::kLoadHeader)).report();
     return out;
 }
 
 std::optional<PrefillResult> VllmProtocol::parse_prefill(int status, std::string_view body) const {
     if (status != 200) return std::nullopt;
-    auto answer = engine::parse_prefill_answer(body);
+    auto answer = engine::parse_prefill_response(body);
     if (!answer) return std::nullopt;
     return PrefillResult{std::move(answer->kv_params), answer->prompt_tokens, answer->cached_tokens};
 }
 
-engine::Judgement VllmProtocol::judge(const engine::Facts& observed, const std::string& kind) const {
-    engine::Facts facts = observed;
+engine::AttemptClassification VllmProtocol::classify(const engine::AttemptObservation& observed,
+                                                     const std::string& kind) const {
+    engine::AttemptObservation observation = observed;
     if (const auto* known = settings_.kind(kind))
-        facts.not_run_status = std::find(known->not_run_statuses.begin(), known->not_run_statuses.end(),
-                                         facts.status) != known->not_run_statuses.end();
-    return engine::judge(facts);
+        observation.not_run_status = std::find(known->not_run_statuses.begin(), known->not_run_statuses.end(),
+                                               observation.status) != known->not_run_statuses.end();
+    return engine::classify(observation);
 }
 
 std::optional<ServerRequest> VllmProtocol::release(const std::string& name, std::int64_t attempt,
@@ -386,11 +389,11 @@
 }
 
 ServerRequest VllmProtocol::health_check_request() const {
-    return {"GET", settings_.load == config::LoadSource::metrics ? "/metrics" : "/health", {}, ""};
+    return {"GET", settings_.load_source == config::LoadSource::metrics ? "/metrics" : "/health", {}, ""};
 }
 std::vector<double> VllmProtocol::health_check_load(const ResponseHead& head, std::string_view body) const {
-    return settings_.load == config::LoadSource::metrics ? engine::parse_metrics_page(body).report()
-                                                         : head.load_report;
+    return settings_.load_source == config::LoadSource::metrics ? engine::parse_metrics_page(body).report()
+                                                                : head.load_report;
 }
 
 }  // namespace chalksail::core
--- a/src/core/vllm_protocol.hpp
+++ b/src/core/vllm_protocol.hpp
@@ -16,7 +16,8 @@
 public:
     explicit VllmProtocol(const config::EdgeSettings& settings);
 
-    [[nodiscard]] std::optional<Answer> answer(const http::Request& request, bool draining) const override;
+    [[nodiscard]] std::optional<ClientResponse> answer(const http::Request& request,
+                                                       bool draining) const override;
     [[nodiscard]] Rejection reject(const http::Request& request, std::uint64_t number,
                                    RejectionReason reason) const override;
     [[nodiscard]] tl::expected<ParsedRequest, Rejection> parse(http::Request& request,
@@ -24,7 +25,8 @@
     [[nodiscard]] ResponseHead read_head(int status, const http::Headers& headers) const override;
     [[nodiscard]] std::optional<PrefillResult> parse_prefill(int status,
                                                              std::string_view body) const override;
-    [[nodiscard]] engine::Judgement judge(const engine::Facts& facts, const std::string& kind) const override;
+    [[nodiscard]] engine::AttemptClassification classify(const engine::AttemptObservation& observation,
+                                                         const std::string& kind) const override;
     [[nodiscard]] ReleaseScope release_covers() const override { return ReleaseScope::attempt; }
     [[nodiscard]] std::optional<ServerRequest> release(const std::string& name, std::int64_t attempt,
                                                        const std::string& state,
--- a/src/engine/outcome.cpp
+++ b/src/engine/outcome.cpp
@@ -3,33 +3,33 @@
 namespace chalksail::engine {
 
 NotRun parse_not_run(std::string_view value) {
-    if (value == "full") return NotRun::full;
-    if (value == "no-state") return NotRun::no_state;
+    if (value == "full") return NotRun::at_capacity;
+    if (value == "no-state") return NotRun::kv_state_missing;
     if (value == "draining") return NotRun::draining;
     return NotRun::unknown;
 }
 
-Judgement judge(const Facts& f) {
+AttemptClassification classify(const AttemptObservation& f) {
     switch (f.ending) {
-        case Ending::answered: break;
-        case Ending::dial_failed:
-        case Ending::unverified:
-        case Ending::withdrawn:
+        case ExchangeEnd::response_received: break;
+        case ExchangeEnd::dial_failed:
+        case ExchangeEnd::unverified:
+        case ExchangeEnd::withdrawn:
             // Guards against a network layer that reports "no connection" for bytes that were sent.
             return {f.sent ? AttemptOutcome::reset : AttemptOutcome::connect_failed, false, false};
-        case Ending::no_resources:
-        case Ending::expired:
+        case ExchangeEnd::no_resources:
+        case ExchangeEnd::expired:
             // A local fault says nothing about the server: it is as if the attempt had never been made.
             return {f.sent ? AttemptOutcome::reset : AttemptOutcome::not_sent, false, false};
-        case Ending::closed:
+        case ExchangeEnd::connection_closed:
             return {f.sent ? AttemptOutcome::reset : AttemptOutcome::connect_failed, false, false};
-        case Ending::bad_answer:
+        case ExchangeEnd::malformed_response:
             return {f.started ? AttemptOutcome::reset : AttemptOutcome::error, false, false};
-        case Ending::timed_out:
+        case ExchangeEnd::timed_out:
             return {f.sent ? AttemptOutcome::timeout : AttemptOutcome::connect_failed, false, false};
         // One that was never sent counts as "no connection" too, as that is the proof; the policy itself has
         // cancelled it.
-        case Ending::cancelled:
+        case ExchangeEnd::cancelled:
             return {f.sent ? AttemptOutcome::cancelled : AttemptOutcome::connect_failed, false, false};
     }
     if (f.status == 200) {
@@ -37,7 +37,7 @@
         return {f.started ? AttemptOutcome::reset : AttemptOutcome::error, false, false};
     }
     if (f.not_run != NotRun::unknown)
-        return {AttemptOutcome::at_capacity, f.not_run == NotRun::no_state, false};
+        return {AttemptOutcome::at_capacity, f.not_run == NotRun::kv_state_missing, false};
     if (f.not_run_status) return {AttemptOutcome::at_capacity, false, false};
     // The server is healthy and rejects the request itself, as any other server would. 408, 425 and 429 are
     // about the server's state at that time, 401 and 403 about this gateway's credentials there: these count
--- a/src/engine/protocol.cpp
+++ b/src/engine/protocol.cpp
@@ -94,12 +94,12 @@
     return out.done();
 }
 
-std::optional<PrefillAnswer> parse_prefill_answer(std::string_view body) {
+std::optional<PrefillResponse> parse_prefill_response(std::string_view body) {
     json::Document doc;
     if (!json::parse(body, doc)) return std::nullopt;
     const auto* params = json::find(doc, "kv_transfer_params");
     if (params == nullptr || !params->IsObject()) return std::nullopt;
-    PrefillAnswer out;
+    PrefillResponse out;
     out.kv_params = json::dump(*params);
     if (const auto usage = read_usage(doc)) {
         out.prompt_tokens = usage->prompt_tokens;
--- a/src/engine/protocol.hpp
+++ b/src/engine/protocol.hpp
@@ -42,13 +42,13 @@
 [[nodiscard]] std::string release_body(std::string_view request_id, std::string_view kv_params);
 
 // What the gateway uses of a prefill's response.
-struct PrefillAnswer {
+struct PrefillResponse {
     std::string kv_params;                // JSON object
     double prompt_tokens = 0;             // 0: unknown
     std::optional<double> cached_tokens;  // of the prompt; many engines do not report it
 };
 // Nullopt if the body is no prefill response: not JSON, or without kv_transfer_params.
-[[nodiscard]] std::optional<PrefillAnswer> parse_prefill_answer(std::string_view body);
+[[nodiscard]] std::optional<PrefillResponse> parse_prefill_response(std::string_view body);
 
 // Token counts of a response.
 struct Usage {
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -232,7 +232,7 @@
     bool head_too_large = false;
     bool keep_alive = false;            // by its head; used for chunked bodies
     std::optional<ChunkReader> chunks;  // set while a chunked body is read
-    std::vector<ResponsePiece> parsed;  // since the last feed()
+    std::vector<ResponsePart> parsed;   // since the last feed()
 
 private:
     static State& of(http_parser* p) { return *static_cast<State*>(p->data); }
@@ -268,9 +268,9 @@
         return 1;  // tells http-parser that there is no body: ChunkReader reads it
     }
     int on_body(std::string_view bytes) {
-        if (!parsed.empty() && std::holds_alternative<BodyPiece>(parsed.back()))
-            std::get<BodyPiece>(parsed.back()).bytes += bytes;
-        else parsed.emplace_back(BodyPiece{std::string(bytes)});
+        if (!parsed.empty() && std::holds_alternative<ResponseBodyPart>(parsed.back()))
+            std::get<ResponseBodyPart>(parsed.back()).bytes += bytes;
+        else parsed.emplace_back(ResponseBodyPart{std::string(bytes)});
         return 0;
     }
     int on_complete() {
@@ -295,11 +295,11 @@
 namespace {
 
 // Reads on in a chunked body, after the `parsed` pieces of the same input.
-std::vector<ResponsePiece> feed_chunks(ChunkReader& chunks, std::string_view bytes, bool keep_alive,
-                                       std::vector<ResponsePiece> parsed) {
+std::vector<ResponsePart> feed_chunks(ChunkReader& chunks, std::string_view bytes, bool keep_alive,
+                                      std::vector<ResponsePart> parsed) {
     std::string body;
     const bool valid = chunks.feed(bytes, body);
-    if (!body.empty()) parsed.emplace_back(BodyPiece{std::move(body)});
+    if (!body.empty()) parsed.emplace_back(ResponseBodyPart{std::move(body)});
     if (!valid) parsed.emplace_back(Fault{502, "not HTTP/1.1: a chunk that can't be read, or does not fit"});
     else if (chunks.complete()) parsed.emplace_back(ResponseEnd{keep_alive && bytes.empty()});
     return parsed;
@@ -307,7 +307,7 @@
 
 }  // namespace
 
-std::vector<ResponsePiece> ResponseReader::feed(std::string_view bytes) {
+std::vector<ResponsePart> ResponseReader::feed(std::string_view bytes) {
     State& s = *state_;
     if (bytes.empty()) return {};  // to http-parser an empty input is the end of the stream
     if (s.complete) return {Fault{502, "bytes after the end of the answer"}};
@@ -330,7 +330,7 @@
     return out;
 }
 
-std::vector<ResponsePiece> ResponseReader::close() {
+std::vector<ResponsePart> ResponseReader::close() {
     State& s = *state_;
     if (s.complete || !s.begun) return {};
     if (s.chunks) return {Fault{502, "the answer was cut", true}};
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -98,13 +98,13 @@
     int status = 0;
     Headers headers;
 };
-struct BodyPiece {
+struct ResponseBodyPart {
     std::string bytes;
 };
 struct ResponseEnd {
     bool keep_alive = false;
 };
-using ResponsePiece = std::variant<ResponseHead, BodyPiece, ResponseEnd, Fault>;
+using ResponsePart = std::variant<ResponseHead, ResponseBodyPart, ResponseEnd, Fault>;
 
 // Reads responses from a byte stream. Informational (1xx) ones are skipped. The body as a whole is not
 // bounded here: its parts are returned as they arrive, and the caller counts them.
@@ -118,10 +118,10 @@
     ResponseReader& operator=(const ResponseReader&) = delete;
 
     // The parts that `bytes` complete. Bytes after the end of the response are a Fault: no request is open.
-    [[nodiscard]] std::vector<ResponsePiece> feed(std::string_view bytes);
+    [[nodiscard]] std::vector<ResponsePart> feed(std::string_view bytes);
     // The peer closed: ends a response whose body runs to the close; a Fault if it is cut; nothing between
     // responses.
-    [[nodiscard]] std::vector<ResponsePiece> close();
+    [[nodiscard]] std::vector<ResponsePart> close();
     // Makes ready for the next response on the same connection.
     void reset();
 
--- a/src/net/admin.cpp
+++ b/src/net/admin.cpp
@@ -157,15 +157,15 @@
             .text("address", format_address(s.address))
             .text("kind", s.endpoint.kind)
             .text("zone", s.endpoint.zone)
-            .whole("cell", s.endpoint.cell)
+            .integer("cell", s.endpoint.cell)
             .number("weight", s.endpoint.weight)
             .text("state", state_word(s.endpoint.state));
         if (s.events) item.text("events", format_address(*s.events));
         if (s.replay) item.text("replay", format_address(*s.replay));
         if (s.endpoint.started_at != Time{})
-            item.whole("started_unix_ms", std::chrono::duration_cast<std::chrono::milliseconds>(
-                                              s.endpoint.started_at.time_since_epoch() - offset.value)
-                                              .count());
+            item.integer("started_unix_ms", std::chrono::duration_cast<std::chrono::milliseconds>(
+                                                s.endpoint.started_at.time_since_epoch() - offset.value)
+                                                .count());
         list += item.done();
     }
     return R"({"scope":"complete","servers":[)" + list + "]}";
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -24,7 +24,7 @@
 PoolLimits watch_pool_limits(const WatchLimits& limits) {
     PoolLimits out;
     out.message = {kHeadBytes, 0};
-    out.per_server = kConnections;
+    out.connections_per_server = kConnections;
     out.dial_timeout = limits.dial_timeout;
     return out;
 }
@@ -169,7 +169,7 @@
     if (is_open(call)) on_ended("ended the call");
     else forget_late(call);
 }
-void DiscoveryWatch::on_failed(UpstreamPool::Call call, engine::Ending, std::string detail) {
+void DiscoveryWatch::on_failed(UpstreamPool::Call call, engine::ExchangeEnd, std::string detail) {
     if (is_open(call)) on_ended(detail);
     else forget_late(call);
 }
--- a/src/net/discovery_watch.hpp
+++ b/src/net/discovery_watch.hpp
@@ -50,7 +50,7 @@
     void on_head(UpstreamPool::Call call, int status, http::Headers headers) override;
     void on_body(UpstreamPool::Call call, std::string bytes) override;
     void on_done(UpstreamPool::Call call) override;
-    void on_failed(UpstreamPool::Call call, engine::Ending ending, std::string detail) override;
+    void on_failed(UpstreamPool::Call call, engine::ExchangeEnd ending, std::string detail) override;
 
     [[nodiscard]] bool is_open(UpstreamPool::Call call) const { return call_ && call_->id == call; }
     // Checks the schedule: ends a silent call, opens one that is due.
--- a/src/net/edge_server.cpp
+++ b/src/net/edge_server.cpp
@@ -85,9 +85,9 @@
     const auto& events = settings_.cache_events;
     cache_feed_ = std::make_unique<CacheFeed>(loop_, static_cast<CacheFeed::Handler&>(*this),
                                               cache_feed_limits(events));
-    if (events.snapshots.empty()) return;
-    cache_snapshots_ = std::make_unique<CacheSnapshotStore>(events.snapshots + "/" + settings_.name,
-                                                            events.snapshots_bytes, log_);
+    if (events.snapshot_folder.empty()) return;
+    cache_snapshots_ = std::make_unique<CacheSnapshotStore>(events.snapshot_folder + "/" + settings_.name,
+                                                            events.snapshot_folder_bytes, log_);
     inputs_.emplace_back(core::CacheSnapshots{cache_snapshots_->all()});
 }
 
@@ -195,7 +195,7 @@
     enqueue(core::CallBody{{call}, std::move(bytes)});
 }
 void EdgeServer::on_done(UpstreamPool::Call call) { enqueue(core::CallDone{{call}}); }
-void EdgeServer::on_failed(UpstreamPool::Call call, engine::Ending ending, std::string detail) {
+void EdgeServer::on_failed(UpstreamPool::Call call, engine::ExchangeEnd ending, std::string detail) {
     enqueue(core::CallFailed{{call}, ending, std::move(detail)});
 }
 
--- a/src/net/edge_server.hpp
+++ b/src/net/edge_server.hpp
@@ -73,7 +73,7 @@
     void on_head(UpstreamPool::Call call, int status, http::Headers headers) override;
     void on_body(UpstreamPool::Call call, std::string bytes) override;
     void on_done(UpstreamPool::Call call) override;
-    void on_failed(UpstreamPool::Call call, engine::Ending ending, std::string detail) override;
+    void on_failed(UpstreamPool::Call call, engine::ExchangeEnd ending, std::string detail) override;
     // CacheFeed::Handler
     void on_cache_message(const std::string& server, std::uint64_t sequence, std::string payload,
                           bool replayed) override;
--- a/src/net/edge_server_limits.cpp
+++ b/src/net/edge_server_limits.cpp
@@ -8,17 +8,17 @@
     ServerLimits out;
     out.message = {limits.head_bytes, limits.body_bytes};
     out.unfinished_bytes = limits.unfinished_bytes;
-    out.idle_connections.connections = static_cast<std::size_t>(limits.connections);
+    out.idle_connections.connections = static_cast<std::size_t>(limits.client_connections);
     out.idle_connections.first = limits.first_timeout;
     out.idle_connections.idle = limits.idle_timeout;
-    out.idle_connections.pressed = limits.idle_pressed;
+    out.idle_connections.pressed = limits.idle_timeout_under_pressure;
     out.idle_connections.linger = limits.linger;
-    out.stream_buffer = limits.stream_buffer;
+    out.stream_buffer_bytes = limits.stream_buffer_bytes;
     out.pipelined_bytes = limits.pipelined_bytes;
     out.discarded_bytes = limits.discarded_bytes;
     out.head_timeout = limits.head_timeout;
     out.body_timeout = limits.body_timeout;
-    out.request_idle = limits.request_idle;
+    out.request_idle_timeout = limits.request_idle_timeout;
     out.stall_timeout = limits.stall_timeout;
     return out;
 }
@@ -33,11 +33,11 @@
     const auto& limits = settings.limits;
     PoolLimits out;
     out.message = {limits.head_bytes, 0, limits.chunk_bytes};
-    out.per_server = static_cast<std::size_t>(limits.per_server);
+    out.connections_per_server = static_cast<std::size_t>(limits.connections_per_server);
     out.queue = static_cast<std::size_t>(limits.dial_queue);
     out.connections = static_cast<std::size_t>(limits.server_connections);
-    out.dial_timeout = settings.module.dial_timeout;
-    out.idle = limits.server_idle;
+    out.dial_timeout = settings.router.dial_timeout;
+    out.idle = limits.server_idle_timeout;
     out.preferred_idle = limits.server_preferred_idle;
     out.completion_timeout = limits.release_timeout;
     out.handshakes = {static_cast<std::size_t>(limits.handshakes),
@@ -48,11 +48,11 @@
 CacheFeed::Limits cache_feed_limits(const config::CacheEvents& settings) {
     CacheFeed::Limits out;
     out.message_bytes = settings.message_bytes;
-    out.queue = static_cast<int>(settings.queue);
+    out.queue = static_cast<int>(settings.max_queued_messages);
     out.messages_per_turn = static_cast<int>(settings.turn_messages);
     out.bytes_per_turn = std::max<std::size_t>(1, settings.turn_bytes);
-    out.reconnect_min = settings.reconnect_least;
-    out.reconnect_max = settings.reconnect_most;
+    out.reconnect_min = settings.reconnect_min;
+    out.reconnect_max = settings.reconnect_max;
     return out;
 }
 
--- a/src/net/effect_executor.cpp
+++ b/src/net/effect_executor.cpp
@@ -15,13 +15,13 @@
 void EffectExecutor::apply(core::SendResponse& effect) {
     resources_.clients.reply(effect.client.value, effect.status, std::move(effect.headers), effect.body);
 }
-void EffectExecutor::apply(core::StreamBegin& effect) {
+void EffectExecutor::apply(core::BeginStream& effect) {
     resources_.clients.begin_stream(effect.client.value, std::move(effect.headers));
 }
-void EffectExecutor::apply(core::StreamBytes& effect) {
+void EffectExecutor::apply(core::SendStreamBytes& effect) {
     resources_.clients.stream(effect.client.value, effect.bytes);
 }
-void EffectExecutor::apply(core::StreamEnd& effect) { resources_.clients.end_stream(effect.client.value); }
+void EffectExecutor::apply(core::EndStream& effect) { resources_.clients.end_stream(effect.client.value); }
 void EffectExecutor::apply(core::AbortStream& effect) {
     resources_.clients.abort_stream(effect.client.value);
 }
@@ -37,7 +37,7 @@
     const bool beyond_limit = effect.kind == core::CallKind::release;
     resources_.servers.start(effect.call.value, target, std::move(request), {effect.priority, beyond_limit});
 }
-void EffectExecutor::apply(core::CallAbort& effect) { resources_.servers.cancel(effect.call.value); }
+void EffectExecutor::apply(core::AbortCall& effect) { resources_.servers.cancel(effect.call.value); }
 void EffectExecutor::apply(core::HalfCloseCall& effect) { resources_.servers.half_close(effect.call.value); }
 void EffectExecutor::apply(core::CompleteCall& effect) { resources_.servers.complete(effect.call.value); }
 void EffectExecutor::apply(core::SetCallPaused& effect) {
@@ -69,7 +69,7 @@
 
 // ---- records ----
 
-void EffectExecutor::apply(core::EndpointForgotten& effect) { resources_.metrics.forget(effect.server); }
+void EffectExecutor::apply(core::ForgetEndpoint& effect) { resources_.metrics.forget(effect.server); }
 void EffectExecutor::apply(core::EmitRecord& effect) {
     if (resources_.metrics_exposed) resources_.metrics.count(effect.record);
     resources_.log.write(effect.record);
--- a/src/net/effect_executor.hpp
+++ b/src/net/effect_executor.hpp
@@ -31,12 +31,12 @@
 
 private:
     void apply(core::SendResponse& effect);
-    void apply(core::StreamBegin& effect);
-    void apply(core::StreamBytes& effect);
-    void apply(core::StreamEnd& effect);
+    void apply(core::BeginStream& effect);
+    void apply(core::SendStreamBytes& effect);
+    void apply(core::EndStream& effect);
     void apply(core::AbortStream& effect);
     void apply(core::Call& effect);
-    void apply(core::CallAbort& effect);
+    void apply(core::AbortCall& effect);
     void apply(core::HalfCloseCall& effect);
     void apply(core::CompleteCall& effect);
     void apply(core::SetCallPaused& effect);
@@ -45,7 +45,7 @@
     void apply(core::ReplayCacheEvents& effect);
     void apply(core::StoreCacheSnapshot& effect);
     void apply(core::DropCacheSnapshot& effect);
-    void apply(core::EndpointForgotten& effect);
+    void apply(core::ForgetEndpoint& effect);
     void apply(core::EmitRecord& effect);
 
     Resources resources_;
--- a/src/net/graceful_shutdown.cpp
+++ b/src/net/graceful_shutdown.cpp
@@ -30,7 +30,8 @@
                            milliseconds_text(limits_.drain_grace));
     // Clients continue on the connections that they have: closing one early may cost the request that is on
     // its way there.
-    if (limits_.drain_grace > Duration::zero()) gateway_.announce_shutdown(now + limits_.drain_answers);
+    if (limits_.drain_grace > Duration::zero())
+        gateway_.announce_shutdown(now + limits_.drain_answer_timeout);
     else take_step(schedule_->next(now));
     poll_timer_.emplace(loop_, [this] {
         poll_due_ = true;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -338,8 +338,8 @@
     if (!connection.is_in(Phase::responding)) return;
     auto& exchange = connection.exchange;
     const std::size_t queued = connection.write_queue_size();
-    const bool changes =
-        exchange.backlog_reported ? queued <= limits_.stream_buffer / 2 : queued > limits_.stream_buffer;
+    const bool changes = exchange.backlog_reported ? queued <= limits_.stream_buffer_bytes / 2
+                                                   : queued > limits_.stream_buffer_bytes;
     if (!changes) return;
     exchange.backlog_reported = !exchange.backlog_reported;
     handler_.on_backlog(exchange.peer, exchange.backlog_reported);
@@ -456,8 +456,8 @@
 
 // Of a request, or a handshake, that has not come whole.
 bool HttpServer::is_overdue(const Connection& connection, Time now) const {
-    const bool silent =
-        limits_.request_idle > Duration::zero() && now - connection.last_byte_at > limits_.request_idle;
+    const bool silent = limits_.request_idle_timeout > Duration::zero() &&
+                        now - connection.last_byte_at > limits_.request_idle_timeout;
     const Duration longest =
         limits_.head_timeout + (connection.reader.in_body() ? limits_.body_timeout : Duration{});
     return silent || now - connection.since > longest;
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -33,13 +33,13 @@
 struct ServerLimits {
     http::Limits message;
     IdleConnectionLimits idle_connections;
-    std::size_t stream_buffer = 64 * 1024;                 // bytes queued for a client before on_backlog()
+    std::size_t stream_buffer_bytes = 64 * 1024;           // bytes queued for a client before on_backlog()
     std::size_t pipelined_bytes = 16 * 1024 * 1024;        // sent ahead of a response, and retained
     std::size_t discarded_bytes = 4 * 1024 * 1024;         // thrown away before the connection is closed
     std::size_t unfinished_bytes = std::size_t{1} << 30U;  // of all requests that are still coming
     Duration head_timeout = std::chrono::seconds(10);  // from a request's first byte to the end of its head
     Duration body_timeout = std::chrono::seconds(30);
-    Duration request_idle{};  // without a byte of a request that has begun; zero: no limit of its own
+    Duration request_idle_timeout{};  // without a byte of a request that has begun; zero: no limit of its own
     Duration stall_timeout = std::chrono::seconds(30);  // without progress of what is written
 };
 
@@ -52,7 +52,7 @@
         virtual void on_request(Peer peer, http::Request request) = 0;
         // The peer disconnected, or was closed, while its request was in hand.
         virtual void on_closed(Peer peer, const ConnectionEnd& end) = 0;
-        // More than ServerLimits::stream_buffer is queued for it; false: less than half of that again.
+        // More than ServerLimits::stream_buffer_bytes is queued for it; false: less than half of that again.
         virtual void on_backlog(Peer, bool) {}
         // A connection with no request in hand ended otherwise than by its peer.
         virtual void on_idle_closed(const ConnectionEnd&) {}
--- a/src/net/tls/certificate_reloader.cpp
+++ b/src/net/tls/certificate_reloader.cpp
@@ -24,7 +24,7 @@
 tl::expected<Material, std::string> read_files(const config::TlsConfig& config) {
     Material m;
     std::string error;
-    if (!read(config.trust, m.trust, error) || !read(config.revocation, m.revocation, error) ||
+    if (!read(config.trusted_cas, m.trust, error) || !read(config.revocation, m.revocation, error) ||
         !read(config.certificate, m.certificate, error) || !read(config.key, m.key, error))
         return tl::unexpected(error);
     return m;
@@ -35,7 +35,7 @@
     auto out = Context::client(material, unix_now);
     if (out) return out;
     const std::string& text = out.error();
-    const std::string& file = text.starts_with("trust")        ? config.trust
+    const std::string& file = text.starts_with("trust")        ? config.trusted_cas
                               : text.starts_with("revocation") ? config.revocation
                               : text.starts_with("key")        ? config.key
                                                                : config.certificate;
@@ -47,7 +47,7 @@
     for (const auto& pair : config.certificates) {
         Material m;
         std::string error;
-        if (!read(config.clients, m.trust, error) || !read(pair.certificate, m.certificate, error) ||
+        if (!read(config.client_cas, m.trust, error) || !read(pair.certificate, m.certificate, error) ||
             !read(pair.key, m.key, error))
             return tl::unexpected(error);
         out.push_back(std::move(m));
@@ -62,7 +62,7 @@
         if (one) continue;
         const std::string& text = one.error();
         const auto& pair = config.certificates[i];
-        const std::string& file = text.starts_with("trust") ? config.clients
+        const std::string& file = text.starts_with("trust") ? config.client_cas
                                   : text.starts_with("key") ? pair.key
                                                             : pair.certificate;
         return tl::unexpected(in_file(file, text));
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -5,7 +5,7 @@
 
 namespace chalksail::net {
 
-using engine::Ending;
+using engine::ExchangeEnd;
 
 namespace {
 
@@ -42,14 +42,14 @@
     ServerConnections& server = servers_[key];
     PendingCall pending{call, uv_now_time(), std::move(request), std::make_shared<Target>(to),
                         options.priority};
-    if (server.count < limits_.per_server) {
+    if (server.count < limits_.connections_per_server) {
         if (make_room() || options.beyond_limit) return dial(to, server, std::move(pending));
         if (server.count == 0) servers_.erase(key);
-        return handler_.on_failed(call, Ending::no_resources,
+        return handler_.on_failed(call, ExchangeEnd::no_resources,
                                   "connections to all servers are at their limit");
     }
     if (queue_.size(key) >= limits_.queue)
-        return handler_.on_failed(call, Ending::no_resources, "queue full");
+        return handler_.on_failed(call, ExchangeEnd::no_resources, "queue full");
     queue_.push(key, std::move(pending));
 }
 
@@ -86,8 +86,8 @@
 void UpstreamPool::connect(Call call, const Target& to) {
     ServerConnections& server = servers_[to.key()];
     // Its connections are all in use: that many are verified already, or will show it.
-    if (server.count >= limits_.per_server || !make_room())
-        return handler_.on_failed(call, Ending::no_resources, "connections are at their limit");
+    if (server.count >= limits_.connections_per_server || !make_room())
+        return handler_.on_failed(call, ExchangeEnd::no_resources, "connections are at their limit");
     dial(to, server, {call, uv_now_time(), std::nullopt, std::make_shared<Target>(to), 0});
 }
 
@@ -115,7 +115,7 @@
 void UpstreamPool::on_connected(Connection& connection, int status) {
     if (status != 0) {
         counts_.dial_failed += 1;
-        return on_failure(connection, Ending::dial_failed, uv_strerror(status));
+        return on_failure(connection, ExchangeEnd::dial_failed, uv_strerror(status));
     }
     connection.set_no_delay();
     connection.start_reading();
@@ -137,7 +137,7 @@
     const auto first_flight = connection.begin_handshake();
     if (first_flight.fault) return on_tls_fault(connection, *first_flight.fault);
     if (connection.write(first_flight.to_peer) != 0)
-        on_failure(connection, Ending::dial_failed, "closed by the server");
+        on_failure(connection, ExchangeEnd::dial_failed, "closed by the server");
 }
 
 // What it was established for goes out.
@@ -168,7 +168,7 @@
     // Guards against a request that is late for its own purpose: the dial or the queue took its time.
     if (!handler_.on_ready(call, request.headers)) {
         connection.exchange.call = 0;
-        handler_.on_failed(call, Ending::expired, "its time was over before its connection was ready");
+        handler_.on_failed(call, ExchangeEnd::expired, "its time was over before its connection was ready");
         return make_idle(connection);
     }
     const Time now = uv_now_time();
@@ -184,7 +184,7 @@
     std::string bytes = http::format_request_head(request.method, request.target, request.headers);
     bytes += request.body;
     if (connection.write(connection.encrypt(std::move(bytes))) != 0)
-        return on_failure(connection, Ending::closed, "write failed");
+        return on_failure(connection, ExchangeEnd::connection_closed, "write failed");
     report_if_written(connection);
 }
 
@@ -217,7 +217,7 @@
         if (!connection.target.tls) return on_plaintext(connection, bytes);
         // Guards against a server that sends first: it can only be one without TLS.
         counts_.dial_failed += 1;
-        return on_failure(connection, Ending::dial_failed, "TLS: spoke before the handshake");
+        return on_failure(connection, ExchangeEnd::dial_failed, "TLS: spoke before the handshake");
     }
     auto step = filter->from_peer(bytes);
     connection.write(std::move(step.to_peer));
@@ -236,7 +236,8 @@
 void UpstreamPool::on_read_error(Connection& connection, int error) {
     // Guards against a break that is taken for an end: a response without a length would be whole with it.
     if (error != UV_EOF && connection.is_in(State::busy))
-        return on_failure(connection, Ending::closed, std::string("connection broke: ") + uv_err_name(error));
+        return on_failure(connection, ExchangeEnd::connection_closed,
+                          std::string("connection broke: ") + uv_err_name(error));
     if (connection.tls() == nullptr) return on_stream_ended(connection);
     // Without close_notify a cut looks like an end: it is never taken for the end of a response.
     const auto step = connection.tls()->peer_closed();
@@ -246,12 +247,13 @@
 
 void UpstreamPool::on_tls_fault(Connection& connection, const tls::Fault& fault) {
     if (connection.is_in(State::idle)) return close(connection);
-    if (!connection.being_established()) return on_failure(connection, Ending::closed, "TLS: " + fault.text);
+    if (!connection.being_established())
+        return on_failure(connection, ExchangeEnd::connection_closed, "TLS: " + fault.text);
     counts_.dial_failed += 1;
     counts_.handshakes_failed += 1;
     if (fault.kind == tls::FaultKind::verification)
-        return on_failure(connection, Ending::unverified, "TLS, not verified: " + fault.text);
-    on_failure(connection, Ending::dial_failed, "TLS: " + fault.text);
+        return on_failure(connection, ExchangeEnd::unverified, "TLS, not verified: " + fault.text);
+    on_failure(connection, ExchangeEnd::dial_failed, "TLS: " + fault.text);
 }
 
 void UpstreamPool::on_plaintext(Connection& connection, std::string_view bytes) {
@@ -265,13 +267,14 @@
 void UpstreamPool::on_stream_ended(Connection& connection) {
     if (connection.is_in(State::idle)) return close(connection);
     if (connection.being_established())
-        return on_failure(connection, Ending::dial_failed, "closed by the server");
+        return on_failure(connection, ExchangeEnd::dial_failed, "closed by the server");
     auto rest = connection.reader.close();
     if (!rest.empty()) on_response_parts(connection, std::move(rest));
-    if (connection.is_in(State::busy)) on_failure(connection, Ending::closed, "closed by the server");
+    if (connection.is_in(State::busy))
+        on_failure(connection, ExchangeEnd::connection_closed, "closed by the server");
 }
 
-void UpstreamPool::on_response_parts(Connection& connection, std::vector<http::ResponsePiece> parts) {
+void UpstreamPool::on_response_parts(Connection& connection, std::vector<http::ResponsePart> parts) {
     const Call call = connection.exchange.call;
     for (auto& part : parts) {
         if (!connection.is_in(State::busy) || connection.exchange.call != call) return;
@@ -282,11 +285,13 @@
             return;
         }
         if (const auto* fault = std::get_if<http::Fault>(&part))
-            return on_failure(connection, fault->cut ? Ending::closed : Ending::bad_answer, fault->text);
+            return on_failure(connection,
+                              fault->cut ? ExchangeEnd::connection_closed : ExchangeEnd::malformed_response,
+                              fault->text);
         if (!wanted) continue;
         if (auto* head = std::get_if<http::ResponseHead>(&part))
             handler_.on_head(call, head->status, std::move(head->headers));
-        else handler_.on_body(call, std::move(std::get<http::BodyPiece>(part).bytes));
+        else handler_.on_body(call, std::move(std::get<http::ResponseBodyPart>(part).bytes));
     }
 }
 
@@ -300,7 +305,7 @@
 
 // ---- the end of a connection ----
 
-void UpstreamPool::on_failure(Connection& connection, Ending ending, const std::string& detail) {
+void UpstreamPool::on_failure(Connection& connection, ExchangeEnd ending, const std::string& detail) {
     report_if_written(connection);
     const auto exchange = connection.exchange;
     // Tells a reused connection that was no longer good from a server that died.
@@ -354,7 +359,7 @@
         return;
     }
     ServerConnections& server = servers_[key];
-    if (idle == nullptr && (server.count >= limits_.per_server || !make_room())) return;
+    if (idle == nullptr && (server.count >= limits_.connections_per_server || !make_room())) return;
     PendingCall pending = queue_.pop(key);
     if (idle == nullptr) {
         const auto target = pending.target;
@@ -461,19 +466,20 @@
 
 void UpstreamPool::fail_overdue_connect(Connection& connection) {
     if (connection.is_in(State::awaiting_retry))
-        return on_failure(connection, Ending::no_resources,
+        return on_failure(connection, ExchangeEnd::no_resources,
                           "this machine is short of descriptors, ports or memory");
     // Delayed by this gateway's own limit: that shows nothing about the server.
     if (handshakes_.waits_for_total_limit(connection))
-        return on_failure(connection, Ending::no_resources, "no handshake in time: all places are taken");
+        return on_failure(connection, ExchangeEnd::no_resources,
+                          "no handshake in time: all places are taken");
     counts_.dial_failed += 1;
-    on_failure(connection, Ending::dial_failed, "no connection in time");
+    on_failure(connection, ExchangeEnd::dial_failed, "no connection in time");
 }
 
 void UpstreamPool::fail_overdue_calls(Time now) {
     for (const Call call : queue_.overdue(now, limits_.dial_timeout)) {
         cancel(call);
-        handler_.on_failed(call, Ending::dial_failed, "no free connection in time");
+        handler_.on_failed(call, ExchangeEnd::dial_failed, "no free connection in time");
     }
 }
 
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -44,7 +44,7 @@
 
 struct PoolLimits {
     http::Limits message;
-    std::size_t per_server = 1024;
+    std::size_t connections_per_server = 1024;
     std::size_t connections = 0;  // to all servers together; 0: no limit of its own
     std::size_t queue = 4096;     // calls waiting for one server
     Duration dial_timeout = std::chrono::milliseconds(250);
@@ -62,14 +62,14 @@
     struct Handler {
         virtual ~Handler() = default;
         // Its connection is ready, nothing of it has been handed over. False: it is withheld, and fails as
-        // Ending::expired; its connection serves others. May change headers that depend on the time.
+        // ExchangeEnd::expired; its connection serves others. May change headers that depend on the time.
         virtual bool on_ready(Call, http::Headers&) { return true; }
         virtual void on_sent(Call) {}     // its first byte was handed to a connection
         virtual void on_written(Call) {}  // its last one was
         virtual void on_head(Call call, int status, http::Headers headers) = 0;
         virtual void on_body(Call call, std::string bytes) = 0;
         virtual void on_done(Call call) = 0;
-        virtual void on_failed(Call call, engine::Ending ending, std::string detail) = 0;
+        virtual void on_failed(Call call, engine::ExchangeEnd ending, std::string detail) = 0;
     };
 
     UpstreamPool(uv_loop_t& loop, Handler& handler, PoolLimits limits);
@@ -147,9 +147,9 @@
     void on_plaintext(Connection& connection, std::string_view bytes);
     void on_tls_fault(Connection& connection, const tls::Fault& fault);
     void on_stream_ended(Connection& connection);
-    void on_response_parts(Connection& connection, std::vector<http::ResponsePiece> parts);
+    void on_response_parts(Connection& connection, std::vector<http::ResponsePart> parts);
     void on_response_end(Connection& connection, bool keep_alive);
-    void on_failure(Connection& connection, engine::Ending ending, const std::string& detail);
+    void on_failure(Connection& connection, engine::ExchangeEnd ending, const std::string& detail);
     void close(Connection& connection);
     // Forgets its call, without a report.
     void abandon_call(Connection& connection);
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -15,15 +15,15 @@
         return json::ObjectWriter()
             .text("event", "attempt")
             .text("request", r.request)
-            .whole("attempt", r.attempt)
+            .integer("attempt", r.attempt)
             .text("server", r.server)
             .text("stage", r.prefill ? "read" : "write")
             .text("outcome", r.outcome)
-            .whole("status", r.status)
-            .flag("sent", r.sent)
-            .flag("written", r.written)
-            .flag("started", r.started)
-            .number("ms", ms(r.taken))
+            .integer("status", r.status)
+            .boolean("sent", r.sent)
+            .boolean("written", r.written)
+            .boolean("started", r.started)
+            .number("ms", ms(r.duration))
             .text("detail", r.detail)
             .done();
     }
@@ -35,15 +35,15 @@
             .text("class", r.class_name)
             .text("tenant", r.tenant)
             .text("termination", name(r.termination))
-            .whole("status", r.status)
+            .integer("status", r.status)
             .text("reason", name(r.reason))
             .number("ms", ms(r.total))
             .number("first_token_ms", ms(r.first_token))
             .number("prompt_tokens", r.prompt_tokens)
             .number("prompt_tokens_told", r.reported_prompt_tokens)
             .number("completion_tokens", r.completion_tokens)
-            .whole("chunks", r.chunks)
-            .flag("stream", r.streamed)
+            .integer("chunks", r.chunks)
+            .boolean("stream", r.streamed)
             .text("trail", r.attempt_history)
             .done();
     }
@@ -59,13 +59,13 @@
         return json::ObjectWriter()
             .text("event", "endpoint_list")
             .text("kind", name(r.kind))
-            .whole("generation", r.generation)
-            .whole("up", r.up)
-            .whole("draining", r.draining)
-            .whole("removed", r.removed)
+            .integer("generation", r.generation)
+            .integer("up", r.up)
+            .integer("draining", r.draining)
+            .integer("removed", r.removed)
             .done();
     }
-    std::string operator()(const HeldRecord& r) const {
+    std::string operator()(const KvReservationRecord& r) const {
         return json::ObjectWriter()
             .text("event", "held")
             .text("request", r.request)
@@ -84,7 +84,9 @@
     }
 };
 
-bool is_release(HeldAction action) { return action != HeldAction::held && action != HeldAction::fetched; }
+bool is_release(KvReservationAction action) {
+    return action != KvReservationAction::reserved && action != KvReservationAction::fetched;
+}
 
 // Calls that each server gets again and again.
 bool is_periodic(ServerAction action) {
@@ -94,7 +96,7 @@
 spdlog::level::level_enum level_of(const Record& record) {
     if (std::holds_alternative<GuardRecord>(record)) return spdlog::level::err;
     if (std::holds_alternative<AttemptRecord>(record)) return spdlog::level::debug;
-    if (const auto* held = std::get_if<HeldRecord>(&record))
+    if (const auto* held = std::get_if<KvReservationRecord>(&record))
         return is_release(held->action) ? spdlog::level::info : spdlog::level::debug;
     if (const auto* server = std::get_if<ServerRecord>(&record))
         return is_periodic(server->action) ? spdlog::level::debug : spdlog::level::info;
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -38,7 +38,7 @@
     void count(const AttemptRecord& record);
     void count(const ServerRecord& record);
     void count(const EndpointListRecord& record);
-    void count(const HeldRecord& record);
+    void count(const KvReservationRecord& record);
     void count(const GuardRecord& record);
 
     explicit Families(const std::string& name)
@@ -110,7 +110,7 @@
         attempts.Add({{"server", record.server}, {"stage", stage}, {"outcome", std::string(record.outcome)}});
     counter.Increment();
     by_server[record.server].emplace(&attempts, &counter);
-    attempt_seconds.Add({{"stage", stage}}, kSeconds).Observe(seconds(record.taken));
+    attempt_seconds.Add({{"stage", stage}}, kSeconds).Observe(seconds(record.duration));
 }
 
 void Metrics::Families::count(const ServerRecord& record) {
@@ -128,7 +128,7 @@
     endpoint_lists.Add({{"kind", std::string(name(record.kind))}}).Increment();
 }
 
-void Metrics::Families::count(const HeldRecord& record) {
+void Metrics::Families::count(const KvReservationRecord& record) {
     held.Add({{"what", std::string(name(record.action))}, {"reason", std::string(name(record.reason))}})
         .Increment();
 }
--- a/src/observe/record.cpp
+++ b/src/observe/record.cpp
@@ -16,20 +16,20 @@
 std::string_view name(TerminationReason reason) {
     switch (reason) {
         case TerminationReason::draining: return "draining";
-        case TerminationReason::limit: return "limit";
-        case TerminationReason::invalid: return "invalid";
-        case TerminationReason::engine: return "engine";
-        case TerminationReason::held: return "held";
-        case TerminationReason::attempts: return "attempts";
+        case TerminationReason::over_limit: return "limit";
+        case TerminationReason::invalid_request: return "invalid";
+        case TerminationReason::rejected_by_engine: return "engine";
+        case TerminationReason::not_attempted: return "held";
+        case TerminationReason::attempts_failed: return "attempts";
         case TerminationReason::deadline: return "deadline";
-        case TerminationReason::drain: return "drain";
-        case TerminationReason::moved: return "moved";
+        case TerminationReason::drain_expired: return "drain";
+        case TerminationReason::stream_migrated: return "moved";
         case TerminationReason::broken_stream: return "broken_stream";
-        case TerminationReason::stream_time: return "stream_time";
+        case TerminationReason::stream_timeout: return "stream_time";
         case TerminationReason::served: return "served";
-        case TerminationReason::hung_up_held: return "hung_up_held";
-        case TerminationReason::hung_up_attempt: return "hung_up_attempt";
-        case TerminationReason::hung_up_streaming: return "hung_up_streaming";
+        case TerminationReason::disconnected_before_attempt: return "hung_up_held";
+        case TerminationReason::disconnected_during_attempt: return "hung_up_attempt";
+        case TerminationReason::disconnected_during_stream: return "hung_up_streaming";
     }
     return "unknown";
 }
@@ -73,13 +73,13 @@
     return "unknown";
 }
 
-std::string_view name(HeldAction action) {
+std::string_view name(KvReservationAction action) {
     switch (action) {
-        case HeldAction::held: return "held";
-        case HeldAction::fetched: return "fetched";
-        case HeldAction::release: return "release";
-        case HeldAction::release_done: return "release_done";
-        case HeldAction::release_failed: return "release_failed";
+        case KvReservationAction::reserved: return "held";
+        case KvReservationAction::fetched: return "fetched";
+        case KvReservationAction::release_started: return "release";
+        case KvReservationAction::release_succeeded: return "release_done";
+        case KvReservationAction::release_failed: return "release_failed";
     }
     return "unknown";
 }
--- a/src/observe/record.hpp
+++ b/src/observe/record.hpp
@@ -1,8 +1,8 @@
-// Records of what the gateway's core did: plain values, one for each request, attempt, endpoint event, step
-// of a reserved KV state and stopped action.
+// Records of what the gateway's core did: plain values, one for each request, attempt, endpoint event, change
+// of a KV reservation and blocked action.
 //
-// Logs (log.hpp) and metrics (metrics.hpp) are both made of them, so that the two can't disagree. States and
-// reasons are enums here; name() gives the text that the log line and the metric label carry. No I/O, no
+// Logs (log.hpp) and metrics (metrics.hpp) are both derived from them, so that they agree. States and reasons
+// are enums; name() returns the text used in log lines and metric labels. No I/O, no
 // state; values may be passed between threads.
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace chalksail::observe {
 
-// One attempt's end.
+// The end of an attempt.
 // Log line, level debug: {"event":"attempt","request","attempt","server","stage":"read"|"write","outcome",
 // "status","sent","written","started","ms","detail"}.
 struct AttemptRecord {
@@ -23,45 +23,45 @@
     std::string server;
     bool prefill = false;      // the attempt's stage: prefill ("read" in the log), else decode ("write")
     std::string_view outcome;  // engine::name() of its AttemptOutcome
-    int status = 0;            // of the engine's answer; 0: none
-    bool sent = false;         // its first byte was handed to the connection
-    bool started = false;      // its client received a part of the answer
-    Duration taken{};
+    int status = 0;            // HTTP status of the engine's response; 0: none
+    bool sent = false;         // the request's first byte was handed to the connection
+    bool started = false;      // the client received a part of the response
+    Duration duration{};
     std::string detail;
-    bool written = false;  // its last byte was handed to the connection
+    bool written = false;  // the request's last byte was handed to the connection
 };
 
-// Who ended a request, and how.
+// How a request ended.
 enum class Termination {
     served,
-    refused,      // by this gateway, which is draining or has no capacity; nothing was done for it
-    failed,       // by the servers, or by its deadline
-    client_gone,  // its client disconnected
-    rejected,     // the client's own fault (4xx), by this gateway's checks or by an engine's
+    refused,      // not run, because this gateway is draining or no capacity was available
+    failed,       // the servers failed, or the deadline passed
+    client_gone,  // the client disconnected
+    rejected,     // invalid (4xx), found by this gateway's checks or by an engine's
 };
 [[nodiscard]] std::string_view name(Termination termination);
 
 // Why a request ended.
 enum class TerminationReason {
-    draining,           // refused: this gateway takes no new requests
-    limit,              // refused: too many open requests, or too many bytes of them
-    invalid,            // rejected: not a request of the protocol
-    engine,             // rejected: an engine found the request itself at fault
-    held,               // refused: no attempt was begun in its time
-    attempts,           // refused or failed: the attempts made did not serve it
-    deadline,           // failed: its time was over
-    drain,              // failed: this gateway ended before it
-    moved,              // failed: the stream was cut for its client to resume it elsewhere
-    broken_stream,      // failed: the answer broke off
-    stream_time,        // failed: the answer took too long, or was silent too long
-    served,             // served
-    hung_up_held,       // client_gone: before an attempt was out
-    hung_up_attempt,    // client_gone: with an attempt out that had not answered
-    hung_up_streaming,  // client_gone: during its answer
+    draining,                     // refused: this gateway accepts no new requests
+    over_limit,                   // refused: too many open requests, or too many bytes in them
+    invalid_request,              // rejected: not a valid request of the protocol
+    rejected_by_engine,           // rejected: an engine found the request invalid
+    not_attempted,                // refused: no attempt was started in time
+    attempts_failed,              // refused or failed: no attempt succeeded
+    deadline,                     // failed: its deadline passed
+    drain_expired,                // failed: the time for draining ended before the request did
+    stream_migrated,              // failed: the stream was closed so that its client resumes it elsewhere
+    broken_stream,                // failed: the response broke off
+    stream_timeout,               // failed: the response took too long, or was silent too long
+    served,                       // served
+    disconnected_before_attempt,  // client_gone: no attempt was in flight
+    disconnected_during_attempt,  // client_gone: an attempt was in flight without a response yet
+    disconnected_during_stream,   // client_gone: during the response
 };
 [[nodiscard]] std::string_view name(TerminationReason reason);
 
-// One request's end.
+// The end of a request.
 // Log line, level info:
 // {"event":"request","request","client_request","class","tenant","termination","status",
 // "reason","ms","first_token_ms","prompt_tokens","prompt_tokens_told","completion_tokens","chunks","stream",
@@ -72,7 +72,7 @@
     std::string class_name;
     std::string tenant;
     Termination termination = Termination::served;
-    int status = 0;  // of the client's answer; 0: it got none
+    int status = 0;  // HTTP status of the response to the client; 0: none
     TerminationReason reason = TerminationReason::served;
     Duration total{};
     Duration first_token{};             // zero: none
@@ -85,18 +85,18 @@
     std::string attempt_history;
 };
 
-// What happened to an endpoint, or which kind of call beside the attempts ended.
+// A change of an endpoint, or the end of a call other than an attempt.
 enum class ServerAction {
     up,
     draining,
     removed,
-    restarted,       // its start time in the list changed
+    restarted,       // the server's start time in the list changed
     health_check,    // a health check ended; detail: its outcome
     release,         // a release call ended; detail: ok, failed, none (the engine has no such call)
-    verified,        // it proved its name again
-    not_verified,    // it did not prove its name; detail: the error
-    cache_events,    // detail: told (its cache reports are believed), guessed (they are not)
-    cache_snapshot,  // its stored snapshot was not usable; detail: why
+    verified,        // TLS verification of the server's name succeeded again
+    not_verified,    // TLS verification of the server's name failed; detail: the error
+    cache_events,    // detail: told (its cache reports are used), guessed (its cache is estimated)
+    cache_snapshot,  // the stored snapshot was not usable; detail: the reason
 };
 [[nodiscard]] std::string_view name(ServerAction action);
 
@@ -105,56 +105,58 @@
 struct ServerRecord {
     std::string server;
     ServerAction action = ServerAction::up;
-    std::string detail;  // for entries of the list: the address, and where a snapshot lacks one: that
+    std::string detail;  // for list entries: the address, or that a snapshot no longer lists the server
 };
 
-// An update of the endpoint list that is in force from now on.
+// An update of the endpoint list that has been applied.
 // Log line, level info: {"event":"endpoint_list","kind":"delta"|"snapshot"|"cached_snapshot"|"watch_lost",
 // "generation","up","draining","removed"}.
 struct EndpointListRecord {
     EndpointUpdateKind kind = EndpointUpdateKind::snapshot;
-    std::int64_t generation = 0;  // the source's version of the list; 0: it has none
-    // Entries of the update, by state. What a snapshot removes by not listing it has a ServerRecord each.
+    std::int64_t generation = 0;  // the source's version of the list; 0: none
+    // Entries of the update, by state. Each server that a snapshot removes by not listing it has a
+    // ServerRecord.
     std::int64_t up = 0;
     std::int64_t draining = 0;
     std::int64_t removed = 0;
 };
 [[nodiscard]] std::string_view name(EndpointUpdateKind kind);
 
-// What led to a release call.
+// Why a release call was sent.
 enum class ReleaseReason {
     none,
-    decided,                  // by the router
-    request_over,             // its request has its final answer, or its client is gone
-    prefill_may_have_ended,   // a prefill was cancelled or broke, and may have left a state
-    reservation_may_be_held,  // a decode server was asked for a reservation, and none is wanted
-    not_fetched,              // a decode server could not fetch the state
-    decode_unanswered,  // a decode server was silent in the state's time: its attempt may never have arrived
+    decided,                  // the router requested it
+    request_over,             // the request got its final response, or its client disconnected
+    prefill_may_have_ended,   // a prefill was cancelled or broke off, and may have left a KV state
+    reservation_may_be_held,  // a decode server may hold a reservation that is no longer needed
+    not_fetched,              // a decode server could not fetch the KV state
+    decode_unanswered,        // no response from the decode server before the KV state's release was due; the
+                              // attempt may never have arrived
 };
 [[nodiscard]] std::string_view name(ReleaseReason reason);
 
-// A step in the life of what a server holds for a request.
-enum class HeldAction {
-    held,            // a prefill ended well
-    fetched,         // the decode server has begun to answer
-    release,         // a release call was begun
-    release_done,    // ... and succeeded
-    release_failed,  // ... and did not
+// A change of what a server has reserved for a request.
+enum class KvReservationAction {
+    reserved,           // a prefill succeeded and left a KV state
+    fetched,            // the decode server has started to respond
+    release_started,    // a release call was started
+    release_succeeded,  // a release call succeeded
+    release_failed,     // a release call failed
 };
-[[nodiscard]] std::string_view name(HeldAction action);
+[[nodiscard]] std::string_view name(KvReservationAction action);
 
-// One such step, of a KV state or of a reservation.
+// A change of a KV state or of a capacity reservation.
 // Log line, level info for the releases, else debug: {"event":"held","request","action","server","reason",
 // "age_ms"}.
-struct HeldRecord {
+struct KvReservationRecord {
     std::string request;
-    HeldAction action = HeldAction::held;
-    std::string server;  // where it is held, or which one is called to release it
+    KvReservationAction action = KvReservationAction::reserved;
+    std::string server;  // the server that holds it, or that is called to release it
     ReleaseReason reason = ReleaseReason::none;
-    Duration age{};  // since an attempt last proved to have reached a server
+    Duration age{};  // time since an attempt was last known to have reached a server
 };
 
-// Why an action of the router was stopped before it had an effect.
+// Why an action of the router was blocked before it took effect.
 enum class GuardReason {
     send_after_final_answer,
     second_attempt_in_flight,
@@ -168,14 +170,14 @@
 };
 [[nodiscard]] std::string_view name(GuardReason reason);
 
-// An action that a rule forbids, stopped by the core.
+// An action that violates a rule, blocked by the core.
 // Log line, level error: {"event":"guard","request","action": the reason's text}.
 struct GuardRecord {
     std::string request;
     GuardReason reason = GuardReason::unknown_server;
 };
 
-using Record =
-    std::variant<AttemptRecord, RequestRecord, ServerRecord, EndpointListRecord, HeldRecord, GuardRecord>;
+using Record = std::variant<AttemptRecord, RequestRecord, ServerRecord, EndpointListRecord,
+                            KvReservationRecord, GuardRecord>;
 
 }  // namespace chalksail::observe
--- a/src/platform/answer.cpp
+++ b/src/platform/answer.cpp
@@ -21,36 +21,39 @@
     return count >= 0 && count < kMaxReportedTokens ? count : 0;
 }
 
-Judgement judge_response(const Facts& facts) {
-    if (facts.not_run && facts.status == kStateMissing) return {AttemptOutcome::at_capacity, true};
-    if (facts.not_run && (facts.status == kUnavailable || facts.status == kGatewayTimeout))
+AttemptClassification classify_response(const AttemptObservation& observation) {
+    if (observation.not_run && observation.status == kStateMissing)
+        return {AttemptOutcome::at_capacity, true};
+    if (observation.not_run && (observation.status == kUnavailable || observation.status == kGatewayTimeout))
         return {AttemptOutcome::at_capacity};
     // A response before the request's last byte was sent: an incomplete request was not processed.
-    if (!facts.written) return {AttemptOutcome::connect_failed};
-    if (facts.prefill && facts.status == kPrefilled && facts.complete) return {AttemptOutcome::prefilled};
-    if (facts.prefill || facts.status != kOk) return {AttemptOutcome::error};
-    if (facts.complete) return {AttemptOutcome::ok};
-    return {facts.started ? AttemptOutcome::reset : AttemptOutcome::error};
+    if (!observation.written) return {AttemptOutcome::connect_failed};
+    if (observation.prefill && observation.status == kPrefilled && observation.complete)
+        return {AttemptOutcome::prefilled};
+    if (observation.prefill || observation.status != kOk) return {AttemptOutcome::error};
+    if (observation.complete) return {AttemptOutcome::ok};
+    return {observation.started ? AttemptOutcome::reset : AttemptOutcome::error};
 }
 
 }  // namespace
 
 std::string lease_target(std::string_view id) { return "/kv/leases/" + std::string(id); }
 
-Judgement judge(const Facts& facts) {
+AttemptClassification classify(const AttemptObservation& observation) {
     // What was not written completely was not processed, whatever happened then.
     const auto if_written = [&](AttemptOutcome outcome) {
-        return Judgement{facts.written ? outcome : AttemptOutcome::connect_failed};
+        return AttemptClassification{observation.written ? outcome : AttemptOutcome::connect_failed};
     };
-    switch (facts.ended) {
-        case Ended::answered: break;
-        case Ended::no_connection:
-        case Ended::broke: return if_written(AttemptOutcome::reset);
-        case Ended::malformed: return {facts.started ? AttemptOutcome::reset : AttemptOutcome::error};
-        case Ended::timed_out: return if_written(AttemptOutcome::timeout);
-        case Ended::cancelled: return if_written(AttemptOutcome::cancelled);
+    switch (observation.ending) {
+        case ExchangeEnd::response_received: break;
+        case ExchangeEnd::no_connection:
+        case ExchangeEnd::connection_closed: return if_written(AttemptOutcome::reset);
+        case ExchangeEnd::malformed_response:
+            return {observation.started ? AttemptOutcome::reset : AttemptOutcome::error};
+        case ExchangeEnd::timed_out: return if_written(AttemptOutcome::timeout);
+        case ExchangeEnd::cancelled: return if_written(AttemptOutcome::cancelled);
     }
-    return judge_response(facts);
+    return classify_response(observation);
 }
 
 EventReader::Events EventReader::feed(std::string_view bytes) {
--- a/src/platform/answer.hpp
+++ b/src/platform/answer.hpp
@@ -21,17 +21,17 @@
 [[nodiscard]] std::string lease_target(std::string_view id);
 
 // How an attempt ended, as the connection saw it.
-enum class Ended {
-    answered,       // a response came to its end
-    no_connection,  // refused, timed out while connecting, or none was available
-    broke,          // the connection was reset or closed
-    malformed,      // the response violates HTTP or the platform's protocol
-    timed_out,      // this gateway stopped waiting
-    cancelled,      // this gateway cancelled the attempt
+enum class ExchangeEnd {
+    response_received,   // a complete response was received
+    no_connection,       // refused, timed out while connecting, or none was available
+    connection_closed,   // the connection was reset or closed
+    malformed_response,  // the response violates HTTP or the platform's protocol
+    timed_out,           // this gateway stopped waiting
+    cancelled,           // this gateway cancelled the attempt
 };
 // What was observed of an attempt.
-struct Facts {
-    Ended ended = Ended::answered;
+struct AttemptObservation {
+    ExchangeEnd ending = ExchangeEnd::response_received;
     bool written = false;   // the last byte of the request was sent
     bool prefill = false;   // at a prefill server
     bool started = false;   // at least one event was forwarded to the client
@@ -39,12 +39,12 @@
     int status = 0;
     bool not_run = false;  // the response has kNotRunHeader
 };
-struct Judgement {
+struct AttemptClassification {
     AttemptOutcome outcome = AttemptOutcome::error;
     bool kv_state_missing = false;  // at_capacity only: there was no KV state to fetch
 };
-// The outcome that the platform's rules give these facts.
-[[nodiscard]] Judgement judge(const Facts& facts);
+// Returns the outcome that the platform's rules give for this observation.
+[[nodiscard]] AttemptClassification classify(const AttemptObservation& observation);
 
 // Splits a stream into its events, whose bytes it does not change, and reads the token counts of the last
 // one. Not thread-safe.
--- a/src/platform/configuration.cpp
+++ b/src/platform/configuration.cpp
@@ -70,7 +70,7 @@
         configuration.limits = read_limits(document);
         const Json& settings = object(document, "settings");
         configuration.settings = read_settings(settings);
-        configuration.server_idle = optional<Duration>(object(settings, "limits"), "conn_idle_ns");
+        configuration.server_idle_timeout = optional<Duration>(object(settings, "limits"), "conn_idle_ns");
         configuration.known = read_known_endpoints(document);
         return configuration;
     } catch (const BadField& error) {
--- a/src/platform/configuration.hpp
+++ b/src/platform/configuration.hpp
@@ -35,7 +35,7 @@
     Limits limits;
     std::optional<EndpointListUpdate> known;  // a list from before, which may be stale
     Settings settings;
-    Duration server_idle{};  // servers close a connection that was idle for so long; 0: not given
+    Duration server_idle_timeout{};  // servers close a connection that was idle for so long; 0: not given
 };
 
 // Environment variables; empty where one is not set. One that is set wins over the file.
--- a/src/platform/request.cpp
+++ b/src/platform/request.cpp
@@ -100,7 +100,7 @@
         return tl::unexpected(std::string(header) + ": " + std::string(problem));
     };
     // A header given twice may be read differently here and at the servers.
-    for (const auto header : {kIdHeader, kClassHeader, kTenantHeader, kSessionHeader, kTimeLeftHeader,
+    for (const auto header : {kIdHeader, kClassHeader, kTenantHeader, kSessionHeader, kTimeRemainingHeader,
                               kFactsHeader, kRepeatHeader, kIdempotencyHeader})
         if (count(headers, header) > 1) return error(header, "given twice");
     ClientRequest out;
@@ -112,9 +112,9 @@
     out.idempotency_key = headers.get(kIdempotencyHeader);
     out.session = headers.get(kSessionHeader);
     if (!out.session.empty() && !is_name(out.session)) return error(kSessionHeader, "no key");
-    const auto left = parse_time_left(headers.get(kTimeLeftHeader));
-    if (!left) return error(kTimeLeftHeader, "missing, or no time");
-    out.time_left = *left;
+    const auto left = parse_time_remaining(headers.get(kTimeRemainingHeader));
+    if (!left) return error(kTimeRemainingHeader, "missing, or no time");
+    out.time_remaining = *left;
     if (!read_facts(headers.get(kFactsHeader), out)) return error(kFactsHeader, "no facts");
     if (out.prompt_tokens == 0) out.prompt_tokens = static_cast<double>(request.body.size()) / kBytesPerToken;
     out.shared_tokens = std::min(out.shared_tokens, out.prompt_tokens);
@@ -126,7 +126,7 @@
     return out;
 }
 
-std::optional<Duration> parse_time_left(std::string_view text) {
+std::optional<Duration> parse_time_remaining(std::string_view text) {
     if (text.size() < 2) return std::nullopt;
     const char unit = text.back();
     text.remove_suffix(1);
@@ -139,7 +139,7 @@
     return std::nullopt;
 }
 
-std::string format_time_left(Duration left) {
+std::string format_time_remaining(Duration left) {
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(left).count();
     return std::to_string(std::max<std::int64_t>(1, ms)) + "m";
 }
--- a/src/platform/request.hpp
+++ b/src/platform/request.hpp
@@ -18,7 +18,7 @@
 inline constexpr std::string_view kClassHeader = "X-Service-Class";
 inline constexpr std::string_view kTenantHeader = "X-Account";
 inline constexpr std::string_view kSessionHeader = "X-Session-Key";
-inline constexpr std::string_view kTimeLeftHeader = "X-Time-Left";
+inline constexpr std::string_view kTimeRemainingHeader = "X-Time-Left";
 inline constexpr std::string_view kFactsHeader = "X-Facts";
 inline constexpr std::string_view kRepeatHeader = "X-Repeat";
 // Forwarded unchanged: servers deduplicate requests of the classes that are idempotent by key.
@@ -31,7 +31,7 @@
     std::string session;          // empty: none given
     std::string idempotency_key;  // empty: none given
     std::string prefix;           // id of the prompt prefix that the request shares; empty: none
-    Duration time_left{};         // until the client gives up
+    Duration time_remaining{};    // until the client gives up
     double prompt_tokens = 0;
     double shared_tokens = 0;  // of the prompt prefix; at most prompt_tokens
     double max_output = 0;     // tokens
@@ -42,9 +42,9 @@
 [[nodiscard]] tl::expected<ClientRequest, std::string> read_request(const http::Request& request);
 
 // "4800m" (milliseconds), "350u" (microseconds). None for other text, 0, or more than a day.
-[[nodiscard]] std::optional<Duration> parse_time_left(std::string_view text);
+[[nodiscard]] std::optional<Duration> parse_time_remaining(std::string_view text);
 // In milliseconds, at least 1.
-[[nodiscard]] std::string format_time_left(Duration left);
+[[nodiscard]] std::string format_time_remaining(Duration left);
 // In seconds, with three decimals.
 [[nodiscard]] std::string format_retry_after(Duration after);
 // The body of an error response.
--- a/tests/config/kdl_test.cpp
+++ b/tests/config/kdl_test.cpp
@@ -26,8 +26,8 @@
     auto out = parse(text);
     EXPECT_FALSE(out) << text;
     return out ? ""
-               : std::to_string(out.error().place.line) + ":" + std::to_string(out.error().place.column) +
-                     " " + out.error().text;
+               : std::to_string(out.error().position.line) + ":" +
+                     std::to_string(out.error().position.column) + " " + out.error().text;
 }
 
 TEST(Kdl, NodesArgumentsPropertiesChildren) {
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -22,7 +22,7 @@
 TEST(Settings, MinimalFileHasDefaults) {
     const auto out = parse_settings(kMinimal, "f");
     ASSERT_TRUE(out);
-    EXPECT_EQ(out->module.max_attempts, 4);
+    EXPECT_EQ(out->router.max_attempts, 4);
     EXPECT_EQ(out->listen.host, "127.0.0.1");
     EXPECT_EQ(out->limits.body_bytes, 8U * 1024 * 1024);
 }
--- a/tests/core/active_requests_test.cpp
+++ b/tests/core/active_requests_test.cpp
@@ -23,9 +23,11 @@
     [[nodiscard]] std::optional<std::string> stream_error(int, const std::string&) const override {
         return std::nullopt;
     }
-    [[nodiscard]] Answer rejection(Duration) const override { return {}; }
-    [[nodiscard]] Answer failure(int, const std::string&, bool) const override { return {}; }
-    [[nodiscard]] Answer server_rejection(int, const ResponseHead&, std::string) const override { return {}; }
+    [[nodiscard]] ClientResponse rejection(Duration) const override { return {}; }
+    [[nodiscard]] ClientResponse failure(int, const std::string&, bool) const override { return {}; }
+    [[nodiscard]] ClientResponse server_rejection(int, const ResponseHead&, std::string) const override {
+        return {};
+    }
 };
 
 std::unique_ptr<ActiveRequest> request(std::uint64_t id, std::size_t body_bytes = 10) {
@@ -110,8 +112,8 @@
 
 TEST(StreamLimit, EndsAtTheEarliestAndAPausedStreamIsNotIdle) {
     config::EdgeLimits limits;
-    limits.stream_longest = 60s;
-    limits.stream_idle = 5s;
+    limits.max_stream_duration = 60s;
+    limits.stream_idle_timeout = 5s;
     const auto one = request(1);
     one->first_chunk = kNow;
     one->last_chunk = kNow + 1s;
--- a/tests/core/driver.hpp
+++ b/tests/core/driver.hpp
@@ -59,15 +59,14 @@
     void give(std::vector<Input> inputs) {
         for (auto& o : edge.step(now, std::move(inputs))) {
             if (auto* call = std::get_if<Call>(&o)) calls.push_back(*call);
-            else if (auto* abort = std::get_if<CallAbort>(&o)) aborted.push_back(abort->call);
+            else if (auto* abort = std::get_if<AbortCall>(&o)) aborted.push_back(abort->call);
             else if (auto* reply = std::get_if<SendResponse>(&o)) replies.push_back(*reply);
-            else if (auto* bytes = std::get_if<StreamBytes>(&o)) streamed += bytes->bytes;
-            else if (std::get_if<StreamBegin>(&o) != nullptr) streams_begun += 1;
-            else if (std::get_if<StreamEnd>(&o) != nullptr) streams_ended += 1;
+            else if (auto* bytes = std::get_if<SendStreamBytes>(&o)) streamed += bytes->bytes;
+            else if (std::get_if<BeginStream>(&o) != nullptr) streams_begun += 1;
+            else if (std::get_if<EndStream>(&o) != nullptr) streams_ended += 1;
             else if (std::get_if<AbortStream>(&o) != nullptr) streams_aborted += 1;
             else if (auto* flow = std::get_if<SetCallPaused>(&o)) flows.push_back(*flow);
-            else if (auto* endpoint = std::get_if<EndpointForgotten>(&o))
-                forgotten.push_back(endpoint->server);
+            else if (auto* endpoint = std::get_if<ForgetEndpoint>(&o)) forgotten.push_back(endpoint->server);
             else if (auto* emitted = std::get_if<EmitRecord>(&o)) {
                 if (auto* r = std::get_if<observe::RequestRecord>(&emitted->record)) requests.push_back(*r);
                 if (auto* a = std::get_if<observe::AttemptRecord>(&emitted->record)) attempts.push_back(*a);
--- a/tests/core/edge_limits_test.cpp
+++ b/tests/core/edge_limits_test.cpp
@@ -147,7 +147,7 @@
                                      {listed(server, "writer", EndpointState::draining)}},
             CallSent{write}});
     EXPECT_FALSE(d.was_aborted(write));
-    d.give({CallFailed{write, engine::Ending::closed, ""}});
+    d.give({CallFailed{write, engine::ExchangeEnd::connection_closed, ""}});
     d.pass(5s);
     EXPECT_EQ(d.sent().size(), 2U);
     EXPECT_EQ(d.replies.at(0).status, 502);
@@ -170,7 +170,7 @@
     Driver d;
     d.usual_list();
     d.send_request("once");
-    d.give({CallFailed{d.sent()[0].call, engine::Ending::no_resources, "EMFILE"}});
+    d.give({CallFailed{d.sent()[0].call, engine::ExchangeEnd::no_resources, "EMFILE"}});
     ASSERT_EQ(d.replies.size(), 1U);
     EXPECT_EQ(d.replies[0].status, 503);
     EXPECT_EQ(d.attempts[0].outcome, "moot");
--- a/tests/core/edge_test.cpp
+++ b/tests/core/edge_test.cpp
@@ -159,7 +159,7 @@
     const auto write = d.to_decode();
     d.head(write);
     d.body(write, chunk("yes"));
-    d.give({CallFailed{write, engine::Ending::closed, "closed by the server"}});
+    d.give({CallFailed{write, engine::ExchangeEnd::connection_closed, "closed by the server"}});
     EXPECT_NE(d.streamed.find("\"error\""), std::string::npos);
     EXPECT_EQ(d.streamed.find("[DONE]"), std::string::npos);
     EXPECT_EQ(d.streams_ended, 1);
@@ -210,7 +210,7 @@
 
 TEST(Edge, OversizedAnswersAreBounded) {
     auto s = settings();
-    s.limits.answer_bytes = 1000;
+    s.limits.response_bytes = 1000;
     s.limits.event_bytes = 1000;
     Driver d(s);
     d.usual_list();
@@ -236,7 +236,7 @@
     ASSERT_TRUE(d.was_aborted(write));
     d.head(write);
     d.body(write, chunk("late") + chat::format_event("[DONE]"));
-    d.give({CallDone{write}, CallFailed{write, engine::Ending::closed, ""}});
+    d.give({CallDone{write}, CallFailed{write, engine::ExchangeEnd::connection_closed, ""}});
     EXPECT_TRUE(d.streamed.empty());
     expect_empty(d);
 }
@@ -263,7 +263,7 @@
     Driver d;
     d.usual_list();
     const auto write = d.to_decode("once");
-    d.give({CallSent{write}, CallFailed{write, engine::Ending::closed, ""}});
+    d.give({CallSent{write}, CallFailed{write, engine::ExchangeEnd::connection_closed, ""}});
     ASSERT_EQ(d.replies.size(), 1U);
     EXPECT_EQ(d.replies[0].status, 502);
     EXPECT_EQ(d.replies[0].headers.get("x-should-retry"), "false");
@@ -276,7 +276,7 @@
     Driver d;
     d.usual_list();
     const auto write = d.to_decode("once");
-    d.give({CallFailed{write, engine::Ending::dial_failed, "refused"}});
+    d.give({CallFailed{write, engine::ExchangeEnd::dial_failed, "refused"}});
     EXPECT_EQ(d.sent().size(), 3U);
 }
 
--- a/tests/core/platform_actions_test.cpp
+++ b/tests/core/platform_actions_test.cpp
@@ -43,7 +43,7 @@
         for (const auto& o : edge->step(now, std::move(inputs))) {
             if (const auto* c = std::get_if<Call>(&o)) call = c->call;
             sending_ended += std::holds_alternative<HalfCloseCall>(o) ? 1 : 0;
-            aborted += std::holds_alternative<CallAbort>(o) ? 1 : 0;
+            aborted += std::holds_alternative<AbortCall>(o) ? 1 : 0;
         }
     }
     [[nodiscard]] std::vector<AttemptOutcome> outcomes() const {
@@ -75,7 +75,7 @@
 
 TEST(PlatformEdge, ServersCloseAfterACancellationEndsIt) {
     CancelledPrefill d;
-    d.give({CallFailed{d.call, engine::Ending::closed, ""}});
+    d.give({CallFailed{d.call, engine::ExchangeEnd::connection_closed, ""}});
     EXPECT_EQ(d.outcomes(), std::vector<AttemptOutcome>{AttemptOutcome::cancelled});
     EXPECT_EQ(d.aborted, 0);
 }
@@ -142,7 +142,8 @@
     ASSERT_TRUE(std::holds_alternative<ReservationResult>(router.seen.back()));
     EXPECT_TRUE(std::get<ReservationResult>(router.seen.back()).reserved);
     // The read ends without a state, the request is over: the place goes.
-    const auto last = calls_of(edge.step(now, {CallFailed{out[0].call, engine::Ending::dial_failed, ""}}));
+    const auto last =
+        calls_of(edge.step(now, {CallFailed{out[0].call, engine::ExchangeEnd::dial_failed, ""}}));
     ASSERT_EQ(last.size(), 1U);
     EXPECT_EQ(last[0].method, "DELETE");
 }
--- a/tests/core/platform_edge_test.cpp
+++ b/tests/core/platform_edge_test.cpp
@@ -39,7 +39,7 @@
     d.written(write);
     d.give({CallHead{write, 200, {}}});
     d.body(write, kEvent);
-    d.give({CallFailed{write, engine::Ending::closed, ""}});
+    d.give({CallFailed{write, engine::ExchangeEnd::connection_closed, ""}});
     EXPECT_EQ(d.streamed, kEvent);
     EXPECT_EQ(d.streams_ended, 0);
     EXPECT_EQ(d.streams_aborted, 1);
@@ -77,7 +77,7 @@
         const auto write = d.to_decode("order");
         d.give({CallSent{write}});
         if (whole) d.give({CallWritten{write}});
-        d.give({CallFailed{write, engine::Ending::closed, ""}});
+        d.give({CallFailed{write, engine::ExchangeEnd::connection_closed, ""}});
         EXPECT_EQ(d.sent().size(), whole ? 2U : 3U);
         EXPECT_EQ(d.replies.size(), whole ? 1U : 0U);
         if (whole) {
@@ -95,7 +95,7 @@
     Platform d;
     const auto write = d.to_decode("order");
     d.written(write);
-    d.give({CallFailed{write, engine::Ending::closed, ""}});
+    d.give({CallFailed{write, engine::ExchangeEnd::connection_closed, ""}});
     ASSERT_EQ(d.releases().size(), 1U);
     EXPECT_EQ(d.releases()[0].method, "DELETE");
     EXPECT_EQ(d.releases()[0].target, "/kv/leases/9b1f");
@@ -117,11 +117,12 @@
     d.get(platform_text::post("9b1f"));
     const auto read = d.sent().back().call;
     d.written(read);
-    d.give({CallFailed{read, engine::Ending::closed, ""}});
+    d.give({CallFailed{read, engine::ExchangeEnd::connection_closed, ""}});
     ASSERT_EQ(d.sent().size(), 2U);  // read anew
     EXPECT_TRUE(d.releases().empty());
     d.give({ClientClosed{{1}}});
-    d.give({CallSent{d.sent()[1].call}, CallFailed{d.sent()[1].call, engine::Ending::closed, ""}});
+    d.give({CallSent{d.sent()[1].call},
+            CallFailed{d.sent()[1].call, engine::ExchangeEnd::connection_closed, ""}});
     EXPECT_EQ(d.releases().size(), 1U);
 }
 
@@ -130,9 +131,9 @@
     Platform d;
     d.get(platform_text::post("9b1f"));
     d.written(d.sent()[0].call);
-    d.give({CallFailed{d.sent()[0].call, engine::Ending::bad_answer, "noise"}});
+    d.give({CallFailed{d.sent()[0].call, engine::ExchangeEnd::malformed_response, "noise"}});
     d.give({ClientClosed{{1}}});
-    d.give({CallFailed{d.sent().back().call, engine::Ending::dial_failed, ""}});
+    d.give({CallFailed{d.sent().back().call, engine::ExchangeEnd::dial_failed, ""}});
     EXPECT_EQ(d.releases().size(), 1U);
     expect_empty(d);
 }
@@ -196,7 +197,7 @@
     ASSERT_EQ(d.replies.size(), 2U);
     EXPECT_EQ(d.replies[0].client, ClientId{2});
     EXPECT_EQ(d.replies[1].client, ClientId{3});
-    for (const auto& r : d.requests) EXPECT_EQ(r.reason, observe::TerminationReason::drain);
+    for (const auto& r : d.requests) EXPECT_EQ(r.reason, observe::TerminationReason::drain_expired);
     EXPECT_EQ(d.requests.size(), 3U);
     for (const auto& call : d.releases()) d.answer(call.call, 204);
     EXPECT_FALSE(d.releases().empty());
@@ -289,7 +290,7 @@
 TEST(PlatformEdge, StateIsReleasedWhileNoConnectionIsEstablished) {
     auto settings =
         platform_settings(platform::parse_configuration(platform_text::configuration_text(), {}).value());
-    settings.module.release_within = 200ms;
+    settings.router.release_within = 200ms;
     for (const bool there : {false, true}) {
         Platform d(settings);
         const auto write = d.to_decode();
--- a/tests/core/platform_release_test.cpp
+++ b/tests/core/platform_release_test.cpp
@@ -14,7 +14,7 @@
 config::EdgeSettings settings_with_release_within(Duration time) {
     auto out =
         platform_settings(platform::parse_configuration(platform_text::configuration_text(), {}).value());
-    out.module.release_within = time;
+    out.router.release_within = time;
     return out;
 }
 struct UnansweredDecode : Platform {
@@ -64,7 +64,7 @@
     d.pass(210ms);
     ASSERT_EQ(d.releases().size(), 1U);
     d.answer(d.releases()[0].call, 204);
-    d.give({CallFailed{d.write, engine::Ending::closed, ""}});
+    d.give({CallFailed{d.write, engine::ExchangeEnd::connection_closed, ""}});
     d.pass(4ms);
     ASSERT_EQ(d.sent().size(), 3U);
     EXPECT_EQ(d.sent()[2].server[0], 'r');
@@ -78,7 +78,7 @@
 TEST(PlatformEdge, EndsWithoutAnAnswerDoNotResetTheStatesTime) {
     UnansweredDecode d("chat");
     d.pass(300ms);
-    d.give({CallFailed{d.write, engine::Ending::closed, ""}});
+    d.give({CallFailed{d.write, engine::ExchangeEnd::connection_closed, ""}});
     d.pass(4ms);
     ASSERT_EQ(d.sent().size(), 3U);
     EXPECT_EQ(d.sent()[2].server[0], 'w');
@@ -107,7 +107,7 @@
     d.get(platform_text::post("9b1f"));
     const auto first = d.sent().back().call;
     d.written(first);
-    d.give({CallFailed{first, engine::Ending::closed, ""}});
+    d.give({CallFailed{first, engine::ExchangeEnd::connection_closed, ""}});
     ASSERT_EQ(d.sent().size(), 2U);
     d.written(d.sent()[1].call);
     d.pass(510ms);
@@ -124,7 +124,7 @@
         d.pass(wait);
         const auto read = d.sent().back().call;
         d.written(read);
-        d.give({CallFailed{read, engine::Ending::closed, ""}});
+        d.give({CallFailed{read, engine::ExchangeEnd::connection_closed, ""}});
     }
     ASSERT_EQ(d.sent().size(), 3U);
     d.written(d.sent().back().call);
@@ -137,7 +137,7 @@
 // does not wait for its end.
 TEST(PlatformEdge, StateOfADisconnectedClientIsReleasedBesideItsDecode) {
     auto settings = settings_with_release_within(500ms);
-    settings.module.cancellation_enabled = false;
+    settings.router.cancellation_enabled = false;
     Platform d(settings);
     const auto write = d.to_decode();
     d.written(write);
@@ -175,7 +175,7 @@
 // more and its server never answers.
 TEST(PlatformEdge, AttemptOfADisconnectedClientEndsAtTheDeadline) {
     auto settings = settings_with_release_within(500ms);
-    settings.module.cancellation_enabled = false;
+    settings.router.cancellation_enabled = false;
     Platform d(settings);
     d.get(platform_text::post("9b1f"));
     const auto read = d.sent().back().call;
@@ -222,7 +222,7 @@
 TEST(PlatformEdge, NoAttemptBeginsForADisconnectedClient) {
     auto settings =
         platform_settings(platform::parse_configuration(platform_text::configuration_text(), {}).value());
-    settings.module.cancellation_enabled = false;
+    settings.router.cancellation_enabled = false;
     for (const bool written : {false, true}) {
         Platform d(settings);
         d.get(platform_text::post("9b1f"));
@@ -247,7 +247,7 @@
         const auto write = d.sent().back();
         if (write.server == "z1") d.answer(write.call, 200, kEvent + kDoneEvent);
         else
-            d.give({CallFailed{write.call, engine::Ending::dial_failed, ""},
+            d.give({CallFailed{write.call, engine::ExchangeEnd::dial_failed, ""},
                     ClientClosed{{100 + static_cast<std::uint64_t>(i)}}});
         if (write.server == "z1") break;
     }
@@ -293,7 +293,7 @@
 struct DeferredByRelease : Platform {
     DeferredByRelease() {
         const auto write = to_decode();
-        give({CallFailed{write, engine::Ending::dial_failed, ""}});
+        give({CallFailed{write, engine::ExchangeEnd::dial_failed, ""}});
         EXPECT_EQ(sent().size(), 3U);
         pass(540ms);  // the second one dials for as long as the state may wait
         EXPECT_EQ(releases().size(), 1U);
@@ -341,7 +341,7 @@
     settings.limits.release_retry = 1h;
     Platform d(settings);
     const auto write = d.to_decode();
-    d.give({CallFailed{write, engine::Ending::dial_failed, ""}});
+    d.give({CallFailed{write, engine::ExchangeEnd::dial_failed, ""}});
     d.pass(600ms);
     ASSERT_EQ(d.releases().size(), 1U);
     d.pass(4s);
--- a/tests/core/platform_repeat_test.cpp
+++ b/tests/core/platform_repeat_test.cpp
@@ -15,10 +15,10 @@
     Platform d;
     d.get(platform_text::post("9b1f"));
     const auto call = d.sent().back();
-    const auto at_decision = platform::parse_time_left(call.headers.get("x-time-left"));
+    const auto at_decision = platform::parse_time_remaining(call.headers.get("x-time-left"));
     auto headers = headers_of(call);
     EXPECT_TRUE(d.edge.may_begin(d.now + 200ms, call.call, headers));
-    EXPECT_EQ(platform::parse_time_left(headers.get("x-time-left")), *at_decision - 200ms);
+    EXPECT_EQ(platform::parse_time_remaining(headers.get("x-time-left")), *at_decision - 200ms);
     EXPECT_EQ(headers.all().size(), call.headers.all().size());
 }
 
@@ -37,7 +37,7 @@
 TEST(PlatformEdge, WithheldAttemptIsAnsweredAndNoServersFault) {
     Platform d;
     d.get(platform_text::post("9b1f"));
-    d.give({CallFailed{d.sent().back().call, engine::Ending::expired, ""}});
+    d.give({CallFailed{d.sent().back().call, engine::ExchangeEnd::expired, ""}});
     ASSERT_EQ(d.replies.size(), 1U);
     EXPECT_EQ(d.replies[0].status, 503);
     EXPECT_EQ(d.attempts.back().outcome, "moot");
@@ -59,7 +59,7 @@
     d.written(first);
     const Time begun = d.now;
     d.now += 50ms;
-    d.give({CallFailed{first, engine::Ending::closed, ""}});
+    d.give({CallFailed{first, engine::ExchangeEnd::connection_closed, ""}});
     ASSERT_EQ(d.sent().size(), 3U);  // sent again: read anew, or written
     const auto again = d.sent().back();
     auto headers = headers_of(again);
@@ -70,7 +70,7 @@
 // Each way in which a write may end, with none, a part and all of the request out: a `once` request goes
 // again if and only if its last byte is not out, or the server says that it did not run.
 enum class Out { none, part, all };
-using EndOfWrite = std::tuple<engine::Ending, Out>;
+using EndOfWrite = std::tuple<engine::ExchangeEnd, Out>;
 class NonIdempotentDecode : public ::testing::TestWithParam<EndOfWrite> {};
 TEST_P(NonIdempotentDecode, IsRetriedOnlyIfItsLastByteIsNotWritten) {
     const auto [ending, out] = GetParam();
@@ -90,9 +90,9 @@
     }
 }
 INSTANTIATE_TEST_SUITE_P(Kinds, NonIdempotentDecode,
-                         ::testing::Combine(::testing::Values(engine::Ending::closed,
-                                                              engine::Ending::dial_failed,
-                                                              engine::Ending::timed_out),
+                         ::testing::Combine(::testing::Values(engine::ExchangeEnd::connection_closed,
+                                                              engine::ExchangeEnd::dial_failed,
+                                                              engine::ExchangeEnd::timed_out),
                                             ::testing::Values(Out::none, Out::part, Out::all)));
 
 class NonIdempotentEarlyAnswer : public ::testing::TestWithParam<std::tuple<int, bool>> {};
--- a/tests/core/prefix_test.cpp
+++ b/tests/core/prefix_test.cpp
@@ -69,7 +69,7 @@
 // A gateway that starts anew knows what the one before it knew, once the engine proves that it is the same.
 TEST(Prefix, SnapshotServesTheNextGateway) {
     auto s = with_events();
-    s.cache_events.snapshot_every = 10s;
+    s.cache_events.snapshot_interval = 10s;
     std::map<std::string, std::string> stored;
     {
         Edge before(s);
--- a/tests/core/reserved_kv_states_test.cpp
+++ b/tests/core/reserved_kv_states_test.cpp
@@ -39,7 +39,7 @@
     void hold() { states->hold(kRequest, attempt("r1", true), "s", now, output); }
     void cancel_prefill() {
         const UpstreamCall call = attempt("r1", true);
-        const auto result = judge_attempt(*protocol, call, engine::Ending::cancelled, false);
+        const auto result = classify_attempt(*protocol, call, engine::ExchangeEnd::cancelled, false);
         states->attempt_ended(kRequest, call, result, now, output);
     }
     void release_pending(bool attempt_in_flight) {
@@ -58,7 +58,7 @@
         return servers;
     }
     bool fail_release(CallId id) {
-        return states->release_ended(calls.end(id), engine::Ending::timed_out, now, output);
+        return states->release_ended(calls.end(id), engine::ExchangeEnd::timed_out, now, output);
     }
 
     Time now{1000s};
@@ -80,7 +80,7 @@
     hold();
     EXPECT_EQ(states->held_count(), 1U);
     EXPECT_EQ(states->held_state(kRequest), "s");
-    EXPECT_EQ(states->release_due(kRequest), now + edge_settings.module.release_within);
+    EXPECT_EQ(states->release_due(kRequest), now + edge_settings.router.release_within);
     states->finish(kRequest, now, output);
     EXPECT_EQ(released_at(), std::vector<std::string>{"r1"});
     EXPECT_EQ(states->held_count(), 0U);
@@ -109,7 +109,7 @@
     EXPECT_EQ(released_at().size(), 1U);
     UpstreamCall call = calls.end(last_release);
     call.status = 404;
-    EXPECT_TRUE(states->release_ended(call, engine::Ending::answered, now, output));
+    EXPECT_TRUE(states->release_ended(call, engine::ExchangeEnd::response_received, now, output));
     cancel_prefill();
     EXPECT_TRUE(released_at().empty());
     states->forget_server("r1");
@@ -162,7 +162,7 @@
     EXPECT_TRUE(std::holds_alternative<KvStateReleased>(events[0]));
     EXPECT_EQ(released_at().size(), 1U);
     EXPECT_FALSE(states->holds_state(kRequest));
-    EXPECT_EQ(states->release_due(kRequest), now + 1s + edge_settings.module.release_within);
+    EXPECT_EQ(states->release_due(kRequest), now + 1s + edge_settings.router.release_within);
 }
 
 }  // namespace
--- a/tests/core/shutdown_test.cpp
+++ b/tests/core/shutdown_test.cpp
@@ -14,7 +14,7 @@
 config::EdgeLimits limits(Duration grace, Duration drain) {
     config::EdgeLimits out;
     out.drain_grace = grace;
-    out.drain = drain;
+    out.drain_timeout = drain;
     out.linger = 1s;
     return out;
 }
--- a/tests/core/upstream_calls_test.cpp
+++ b/tests/core/upstream_calls_test.cpp
@@ -67,10 +67,11 @@
     UpstreamCall decode;
     decode.server_kind = "writer";
     EXPECT_FALSE(may_have_arrived(*protocol, decode));
-    EXPECT_FALSE(judge_attempt(*protocol, decode, engine::Ending::withdrawn, false).may_have_run(decode));
+    EXPECT_FALSE(
+        classify_attempt(*protocol, decode, engine::ExchangeEnd::withdrawn, false).may_have_run(decode));
     decode.advance(SendPhase::written);
     EXPECT_TRUE(may_have_arrived(*protocol, decode));
-    const auto reset = judge_attempt(*protocol, decode, engine::Ending::closed, false);
+    const auto reset = classify_attempt(*protocol, decode, engine::ExchangeEnd::connection_closed, false);
     EXPECT_TRUE(reset.may_have_run(decode));
     EXPECT_FALSE(reset.may_have_left_kv_state(decode));
     EXPECT_FALSE(reset.proves_arrival(decode));
@@ -78,10 +79,10 @@
     UpstreamCall prefill;
     prefill.server_kind = "reader";
     prefill.prefill = true;
-    EXPECT_FALSE(
-        judge_attempt(*protocol, prefill, engine::Ending::cancelled, false).may_have_left_kv_state(prefill));
+    EXPECT_FALSE(classify_attempt(*protocol, prefill, engine::ExchangeEnd::cancelled, false)
+                     .may_have_left_kv_state(prefill));
     prefill.advance(SendPhase::sending);
-    const auto cancelled = judge_attempt(*protocol, prefill, engine::Ending::cancelled, false);
+    const auto cancelled = classify_attempt(*protocol, prefill, engine::ExchangeEnd::cancelled, false);
     EXPECT_TRUE(cancelled.may_have_left_kv_state(prefill));
     EXPECT_FALSE(cancelled.may_have_run(prefill));
 }
--- a/tests/core/verification_test.cpp
+++ b/tests/core/verification_test.cpp
@@ -16,7 +16,7 @@
     return out;
 }
 void mark_unverified(Driver& d, CallId call) {
-    d.give({CallFailed{call, engine::Ending::unverified, "TLS, not verified: hostname mismatch"}});
+    d.give({CallFailed{call, engine::ExchangeEnd::unverified, "TLS, not verified: hostname mismatch"}});
 }
 config::EdgeSettings pauses() {
     auto s = settings();
--- a/tests/engine/engine_test.cpp
+++ b/tests/engine/engine_test.cpp
@@ -7,9 +7,10 @@
 namespace chalksail::engine {
 namespace {
 
-constexpr Ending kEndings[] = {Ending::answered,  Ending::dial_failed, Ending::no_resources,
-                               Ending::withdrawn, Ending::closed,      Ending::bad_answer,
-                               Ending::timed_out, Ending::cancelled};
+constexpr ExchangeEnd kEndings[] = {ExchangeEnd::response_received, ExchangeEnd::dial_failed,
+                                    ExchangeEnd::no_resources,      ExchangeEnd::withdrawn,
+                                    ExchangeEnd::connection_closed, ExchangeEnd::malformed_response,
+                                    ExchangeEnd::timed_out,         ExchangeEnd::cancelled};
 
 TEST(AttemptOutcome, NothingThatWasSentIsProvedNotToHaveRunButByTheEnginesWord) {
     for (const auto ending : kEndings)
@@ -17,43 +18,46 @@
             for (const bool started : {false, true})
                 for (const bool whole : {false, true})
                     for (const int status : {0, 200, 204, 301, 400, 404, 408, 422, 429, 500, 503}) {
-                        Facts f{ending, true, read, started, whole, status, NotRun::unknown, false};
-                        EXPECT_FALSE(proves_not_run(judge(f).outcome))
+                        AttemptObservation f{ending,          true, read, started, whole, status,
+                                             NotRun::unknown, false};
+                        EXPECT_FALSE(proves_not_run(classify(f).outcome))
                             << static_cast<int>(ending) << ' ' << status;
                     }
 }
 
 TEST(AttemptOutcome, NoByteOutIsProof) {
     for (const auto ending : kEndings) {
-        if (ending == Ending::answered || ending == Ending::bad_answer) continue;
-        Facts f;
+        if (ending == ExchangeEnd::response_received || ending == ExchangeEnd::malformed_response) continue;
+        AttemptObservation f;
         f.ending = ending;
-        EXPECT_TRUE(proves_not_run(judge(f).outcome)) << static_cast<int>(ending);
+        EXPECT_TRUE(proves_not_run(classify(f).outcome)) << static_cast<int>(ending);
     }
 }
 
 TEST(AttemptOutcome, Table) {
-    const auto of = [](Ending ending, bool read, bool started, bool whole, int status,
+    const auto of = [](ExchangeEnd ending, bool read, bool started, bool whole, int status,
                        NotRun word = NotRun::unknown, bool by_settings = false) {
-        return judge({ending, true, read, started, whole, status, word, by_settings});
+        return classify({ending, true, read, started, whole, status, word, by_settings});
     };
-    EXPECT_EQ(of(Ending::answered, true, false, true, 200).outcome, AttemptOutcome::prefilled);
-    EXPECT_EQ(of(Ending::answered, false, true, true, 200).outcome, AttemptOutcome::ok);
-    EXPECT_EQ(of(Ending::answered, false, false, false, 200).outcome, AttemptOutcome::error);
-    EXPECT_EQ(of(Ending::answered, false, true, false, 200).outcome, AttemptOutcome::reset);
-    EXPECT_EQ(of(Ending::closed, false, false, false, 0).outcome, AttemptOutcome::reset);
-    EXPECT_EQ(of(Ending::bad_answer, false, false, false, 200).outcome, AttemptOutcome::error);
-    EXPECT_EQ(of(Ending::answered, false, false, false, 503).outcome, AttemptOutcome::error);
-    EXPECT_EQ(of(Ending::answered, false, false, false, 503, NotRun::full).outcome,
+    EXPECT_EQ(of(ExchangeEnd::response_received, true, false, true, 200).outcome, AttemptOutcome::prefilled);
+    EXPECT_EQ(of(ExchangeEnd::response_received, false, true, true, 200).outcome, AttemptOutcome::ok);
+    EXPECT_EQ(of(ExchangeEnd::response_received, false, false, false, 200).outcome, AttemptOutcome::error);
+    EXPECT_EQ(of(ExchangeEnd::response_received, false, true, false, 200).outcome, AttemptOutcome::reset);
+    EXPECT_EQ(of(ExchangeEnd::connection_closed, false, false, false, 0).outcome, AttemptOutcome::reset);
+    EXPECT_EQ(of(ExchangeEnd::malformed_response, false, false, false, 200).outcome, AttemptOutcome::error);
+    EXPECT_EQ(of(ExchangeEnd::response_received, false, false, false, 503).outcome, AttemptOutcome::error);
+    EXPECT_EQ(of(ExchangeEnd::response_received, false, false, false, 503, NotRun::at_capacity).outcome,
               AttemptOutcome::at_capacity);
-    EXPECT_TRUE(of(Ending::answered, false, false, false, 503, NotRun::no_state).kv_state_missing);
-    EXPECT_EQ(of(Ending::answered, false, false, false, 429, NotRun::unknown, true).outcome,
+    EXPECT_TRUE(of(ExchangeEnd::response_received, false, false, false, 503, NotRun::kv_state_missing)
+                    .kv_state_missing);
+    EXPECT_EQ(of(ExchangeEnd::response_received, false, false, false, 429, NotRun::unknown, true).outcome,
               AttemptOutcome::at_capacity);
-    EXPECT_TRUE(of(Ending::answered, false, false, false, 422).client_error);
-    EXPECT_FALSE(of(Ending::answered, false, false, false, 429).client_error);
-    EXPECT_FALSE(of(Ending::answered, false, false, false, 401).client_error);
+    EXPECT_TRUE(of(ExchangeEnd::response_received, false, false, false, 422).client_error);
+    EXPECT_FALSE(of(ExchangeEnd::response_received, false, false, false, 429).client_error);
+    EXPECT_FALSE(of(ExchangeEnd::response_received, false, false, false, 401).client_error);
     // The word counts only in a whole answer with an error status: not where a stream had begun.
-    EXPECT_EQ(of(Ending::closed, false, false, false, 503, NotRun::full).outcome, AttemptOutcome::reset);
+    EXPECT_EQ(of(ExchangeEnd::connection_closed, false, false, false, 503, NotRun::at_capacity).outcome,
+              AttemptOutcome::reset);
 }
 
 TEST(Protocol, LoadFiguresByPublishedNames) {
@@ -90,18 +94,18 @@
 }
 
 TEST(Protocol, ReadAnswers) {
-    const auto a = parse_prefill_answer(
+    const auto a = parse_prefill_response(
         R"({"usage":{"prompt_tokens":9,"prompt_tokens_details":{"cached_tokens":4}},"kv_transfer_params":{"remote_block_ids":[1],"x":null}})");
     ASSERT_TRUE(a);
     EXPECT_EQ(a->prompt_tokens, 9);
     EXPECT_EQ(a->cached_tokens, 4);
     const auto without_count =
-        parse_prefill_answer(R"({"usage":{"prompt_tokens":9},"kv_transfer_params":{}})");
+        parse_prefill_response(R"({"usage":{"prompt_tokens":9},"kv_transfer_params":{}})");
     ASSERT_TRUE(without_count);
     EXPECT_FALSE(without_count->cached_tokens);
     EXPECT_EQ(a->kv_params, R"({"remote_block_ids":[1],"x":null})");
     for (const char* bad : {"", "{}", "[]", R"({"kv_transfer_params":null})", R"({"kv_transfer_params":[]})"})
-        EXPECT_FALSE(parse_prefill_answer(bad)) << bad;
+        EXPECT_FALSE(parse_prefill_response(bad)) << bad;
 }
 
 TEST(Protocol, PrefillBodyRequestsOneToken) {
--- a/tests/fuzz/codecs_fuzz.cpp
+++ b/tests/fuzz/codecs_fuzz.cpp
@@ -28,12 +28,12 @@
 std::string responses(std::string_view bytes, std::size_t step) {
     http::ResponseReader reader({1000, 0});
     std::string out;
-    const auto take = [&](const std::vector<http::ResponsePiece>& parts) {
+    const auto take = [&](const std::vector<http::ResponsePart>& parts) {
         bool end = false;
         for (const auto& p : parts) {
             if (const auto* h = std::get_if<http::ResponseHead>(&p))
                 out += "H" + std::to_string(h->status) + ";";
-            if (const auto* b = std::get_if<http::BodyPiece>(&p)) out += b->bytes;
+            if (const auto* b = std::get_if<http::ResponseBodyPart>(&p)) out += b->bytes;
             if (std::holds_alternative<http::ResponseEnd>(p)) out += ";E";
             if (std::holds_alternative<http::Fault>(p)) out += ";F";
             end =
@@ -105,7 +105,7 @@
         case 4: events(bytes); break;
         case 5: chat_request(bytes); break;
         case 6:
-            (void)engine::parse_prefill_answer(bytes);
+            (void)engine::parse_prefill_response(bytes);
             (void)engine::parse_load_header(bytes).report();
             (void)engine::parse_metrics_page(bytes).report();
             (void)engine::prompt_text(bytes, {"<s>", "{role}:{content};"});
--- a/tests/fuzz/edge_fuzz.cpp
+++ b/tests/fuzz/edge_fuzz.cpp
@@ -51,7 +51,7 @@
             now_ += std::chrono::seconds(1);
             std::vector<Input> failures;
             for (const auto& [id, call] : calls_)
-                failures.push_back(CallFailed{{id}, engine::Ending::closed, ""});
+                failures.push_back(CallFailed{{id}, engine::ExchangeEnd::connection_closed, ""});
             calls_.clear();
             give(std::move(failures));
         }
@@ -124,8 +124,9 @@
                 return give({CallDone{{call}}});
             }
             case 7: {
-                const engine::Ending endings[] = {engine::Ending::dial_failed, engine::Ending::no_resources,
-                                                  engine::Ending::closed, engine::Ending::bad_answer};
+                const engine::ExchangeEnd endings[] = {
+                    engine::ExchangeEnd::dial_failed, engine::ExchangeEnd::no_resources,
+                    engine::ExchangeEnd::connection_closed, engine::ExchangeEnd::malformed_response};
                 const auto call = some_call();
                 calls_.erase(call);
                 return give({CallFailed{{call}, endings[next() % 4], "f"}});
@@ -169,19 +170,19 @@
         for (const auto& o : edge_.step(now_, std::move(inputs))) {
             if (const auto* call = std::get_if<Call>(&o)) {
                 calls_[call->call.value] = call->body.find("do_remote_decode\":true") != std::string::npos;
-            } else if (const auto* abort = std::get_if<CallAbort>(&o)) {
+            } else if (const auto* abort = std::get_if<AbortCall>(&o)) {
                 calls_.erase(abort->call.value);
             } else if (const auto* completed = std::get_if<CompleteCall>(&o)) {
                 calls_.erase(completed->call.value);
             } else if (const auto* reply = std::get_if<SendResponse>(&o)) {
                 must(clients_[reply->client.value] && !begun_[reply->client.value]);
                 clients_[reply->client.value] = false;
-            } else if (const auto* begin = std::get_if<StreamBegin>(&o)) {
+            } else if (const auto* begin = std::get_if<BeginStream>(&o)) {
                 must(clients_[begin->client.value] && !begun_[begin->client.value]);
                 begun_[begin->client.value] = true;
-            } else if (const auto* bytes = std::get_if<StreamBytes>(&o)) {
+            } else if (const auto* bytes = std::get_if<SendStreamBytes>(&o)) {
                 must(clients_[bytes->client.value] && begun_[bytes->client.value]);
-            } else if (const auto* end = std::get_if<StreamEnd>(&o)) {
+            } else if (const auto* end = std::get_if<EndStream>(&o)) {
                 must(clients_[end->client.value] && begun_[end->client.value]);
                 clients_[end->client.value] = false;
             } else if (const auto* emitted = std::get_if<EmitRecord>(&o)) {
--- a/tests/fuzz/platform_fuzz.cpp
+++ b/tests/fuzz/platform_fuzz.cpp
@@ -45,7 +45,7 @@
              [&](auto part) {
                  if (over) return;
                  for (const auto& piece : reader.feed(part)) {
-                     if (const auto* body = std::get_if<http::BodyPiece>(&piece)) {
+                     if (const auto* body = std::get_if<http::ResponseBodyPart>(&piece)) {
                          in_parts(body->bytes, step, [&](auto bytes) { out += events.feed(bytes).bytes; });
                          if (events.malformed() && events.done()) std::abort();
                      }
@@ -80,7 +80,7 @@
                 if (read.error().empty()) std::abort();
                 break;
             }
-            if (read->id.empty() || read->time_left <= Duration::zero() ||
+            if (read->id.empty() || read->time_remaining <= Duration::zero() ||
                 read->shared_tokens > read->prompt_tokens ||
                 lease_target(read->id).find_first_of(" \r\n?#") != std::string::npos)
                 std::abort();
--- a/tests/http/message_test.cpp
+++ b/tests/http/message_test.cpp
@@ -92,10 +92,10 @@
 Answer answer(const std::string& bytes, std::size_t step, bool close = false, Limits limits = {}) {
     Answer out;
     ResponseReader reader(limits);
-    const auto take = [&](std::vector<ResponsePiece> parts) {
+    const auto take = [&](std::vector<ResponsePart> parts) {
         for (auto& p : parts) {
             if (auto* h = std::get_if<ResponseHead>(&p)) out.status = h->status;
-            if (auto* b = std::get_if<BodyPiece>(&p)) out.body += b->bytes;
+            if (auto* b = std::get_if<ResponseBodyPart>(&p)) out.body += b->bytes;
             if (auto* e = std::get_if<ResponseEnd>(&p)) {
                 out.ended = true;
                 out.keep = e->keep_alive;
@@ -161,7 +161,7 @@
         std::string out;
         for (std::size_t at = 0; at < text.size(); at += step)
             for (const auto& piece : reader.feed(std::string_view(text).substr(at, step))) {
-                if (const auto* body = std::get_if<BodyPiece>(&piece)) out += body->bytes;
+                if (const auto* body = std::get_if<ResponseBodyPart>(&piece)) out += body->bytes;
                 if (std::holds_alternative<ResponseEnd>(piece)) out += "|end";
                 if (std::holds_alternative<Fault>(piece)) return out + "|fault";
             }
--- a/tests/lab/checker_test.cpp
+++ b/tests/lab/checker_test.cpp
@@ -83,7 +83,7 @@
                                      drop<core::CallSent>(inputs);
                                      for (auto& i : inputs)
                                          if (auto* f = std::get_if<core::CallFailed>(&i))
-                                             f->ending = engine::Ending::dial_failed;
+                                             f->ending = engine::ExchangeEnd::dial_failed;
                                  },
                                  {}});
     EXPECT_GT(found.count(2), 0U);
--- a/tests/lab/report_test.cpp
+++ b/tests/lab/report_test.cpp
@@ -21,7 +21,7 @@
                       3);
     s.length = std::chrono::seconds(6);
     Simulation day(s);
-    Account account(s.edge.module.classes, day.begin());
+    Account account(s.edge.router.classes, day.begin());
     day.watch([&](const Record& r) { account.add(r); });
     auto rule_report = day.run();
     const auto page = html_report(s, account, rule_report, true);
--- a/tests/net/crossing_test.cpp
+++ b/tests/net/crossing_test.cpp
@@ -259,7 +259,7 @@
     begin([&](auto& p) { stream = &p; },
           [](auto& s) {
               s.limits.drain_grace = 0ms;
-              s.limits.drain = 1ms;
+              s.limits.drain_timeout = 1ms;
           });
     DirectClient c(edge->address());
     c.send(messages::post("a1"));
@@ -302,7 +302,7 @@
 TEST_F(PlatformRig, ReadyBesideManySilentClientsWhileDiscoveryIsDown) {
     watch_limits.object_silence_timeout = 50ms;
     quiet = true;
-    begin([](auto& p) { p.send(kStream); }, [](auto& s) { s.limits.connections = 8; });
+    begin([](auto& p) { p.send(kStream); }, [](auto& s) { s.limits.client_connections = 8; });
     for (int i = 0; i < 30; ++i) client();
     DirectClient probe(edge->address());
     probe.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
--- a/tests/net/platform_rig.hpp
+++ b/tests/net/platform_rig.hpp
@@ -57,7 +57,7 @@
         const auto configuration = platform::parse_configuration(
             messages::configuration_text(format_address(discovery->address)), {});
         auto settings = core::platform_settings(configuration.value());
-        settings.module.dial_timeout =
+        settings.router.dial_timeout =
             5s;  // a busy machine must not look like a server that can't be dialled
         change(settings);
         log = std::make_unique<observe::Log>("t", "off");
--- a/tests/net/platform_socket_test.cpp
+++ b/tests/net/platform_socket_test.cpp
@@ -15,7 +15,7 @@
 // Clients that ask once and keep their connection for good filled all places, and whoever came next was
 // closed on (half of a churn day was lost so).
 TEST_F(PlatformRig, ReusableConnectionsMakeRoomForNewOnes) {
-    begin([](auto& p) { p.send(kStream); }, [](auto& s) { s.limits.connections = 4; });
+    begin([](auto& p) { p.send(kStream); }, [](auto& s) { s.limits.client_connections = 4; });
     for (int i = 0; i < 12; ++i) EXPECT_TRUE(served("a" + std::to_string(i))) << i;
     EXPECT_GE(std::count_if(clients.begin(), clients.end(), [](const auto& c) { return c->closed(); }), 8);
 }
@@ -24,7 +24,7 @@
 TEST_F(PlatformRig, ManySilentClientsKeepNobodyOut) {
     begin([](auto& p) { p.send(kStream); },
           [](auto& s) {
-              s.limits.connections = 4;
+              s.limits.client_connections = 4;
               s.limits.first_timeout = 300ms;
           });
     for (int i = 0; i < 12; ++i) client();
@@ -84,7 +84,7 @@
 TEST_P(BadClient, GetsAnErrorOrACloseAndNothingIsPassedOn) {
     begin([](auto& p) { p.send(kStream); },
           [](auto& s) {
-              s.limits.request_idle = 200ms;
+              s.limits.request_idle_timeout = 200ms;
               s.limits.first_timeout = 200ms;
           });
     RawClient& c = client();
--- a/tests/net/pool_crossing_test.cpp
+++ b/tests/net/pool_crossing_test.cpp
@@ -67,7 +67,7 @@
     peer.disconnect(true);
     until([&] { return over; });
     EXPECT_TRUE(written);
-    EXPECT_EQ(ending, engine::Ending::closed);
+    EXPECT_EQ(ending, engine::ExchangeEnd::connection_closed);
 }
 
 // The other way: what waits in this process has not gone, whoever asks.
@@ -90,7 +90,7 @@
     });
     peer.send_bytes(kAnswer);
     until([&] { return over; });
-    EXPECT_EQ(ending, engine::Ending::answered);
+    EXPECT_EQ(ending, engine::ExchangeEnd::response_received);
 }
 
 // Each way in which a server may end a call, with a part of the request out and with all of it.
@@ -115,7 +115,8 @@
     }
     until([&] { return over; });
     EXPECT_EQ(written, all_out);
-    EXPECT_EQ(ending, end == ServerEnds::answer ? engine::Ending::answered : engine::Ending::closed);
+    EXPECT_EQ(ending, end == ServerEnds::answer ? engine::ExchangeEnd::response_received
+                                                : engine::ExchangeEnd::connection_closed);
     // Guards against what is left of this request going out ahead of the next one, on the same connection.
     const bool reused = end == ServerEnds::answer && all_out;
     const auto dialled = pool->counts().dialled;
@@ -137,16 +138,16 @@
     goes = false;
     call(peer, "body");
     until([&] { return over; });
-    EXPECT_EQ(ending, engine::Ending::expired);
+    EXPECT_EQ(ending, engine::ExchangeEnd::expired);
     peer.take();
     EXPECT_EQ(drain(peer), 0U);
     EXPECT_EQ(pool->counts().connections, 1U);
     goes = true;
-    ending = engine::Ending::answered;
+    ending = engine::ExchangeEnd::response_received;
     call(peer, "body");
     EXPECT_EQ(pool->counts().dialled, 1U);
     answer(peer);
-    EXPECT_EQ(ending, engine::Ending::answered);
+    EXPECT_EQ(ending, engine::ExchangeEnd::response_received);
 }
 
 // What a request says of the time left is what is left when it is written.
@@ -179,7 +180,7 @@
     EXPECT_EQ(recv(peer.one, &byte, 1, 0), 0);  // the server sees the end
     peer.send_bytes(kAnswer);
     until([&] { return over; });
-    EXPECT_EQ(ending, engine::Ending::answered);
+    EXPECT_EQ(ending, engine::ExchangeEnd::response_received);
     EXPECT_EQ(pool->counts().connections, 0U);
 }
 
@@ -201,7 +202,7 @@
 // Several calls wait for one connection: those that are late are kept back one after another, the next goes.
 TEST_F(PoolCrossing, LateCallsInTheQueueDoNotHoldUpTheNext) {
     PoolLimits limits;
-    limits.per_server = 1;
+    limits.connections_per_server = 1;
     limits.dial_timeout = std::chrono::seconds(20);
     pool = std::make_unique<UpstreamPool>(loop, static_cast<UpstreamPool::Handler&>(*this), limits);
     Peer peer;
--- a/tests/net/pool_rig.hpp
+++ b/tests/net/pool_rig.hpp
@@ -98,10 +98,10 @@
     void on_head(UpstreamPool::Call, int, http::Headers) override {}
     void on_body(UpstreamPool::Call, std::string) override {}
     void on_done(UpstreamPool::Call) override { over = true; }
-    void on_failed(UpstreamPool::Call, engine::Ending why, std::string) override {
+    void on_failed(UpstreamPool::Call, engine::ExchangeEnd why, std::string) override {
         over = true;
         ending = why;
-        expired += why == engine::Ending::expired ? 1 : 0;
+        expired += why == engine::ExchangeEnd::expired ? 1 : 0;
     }
     uv_loop_t loop{};
     std::unique_ptr<UpstreamPool> pool;
@@ -111,7 +111,7 @@
     UpstreamPool::Call late_until = 1;  // calls behind the first, up to this one, are kept back
     int expired = 0;
     std::optional<std::string> update;  // of a header, in on_ready()
-    engine::Ending ending = engine::Ending::answered;
+    engine::ExchangeEnd ending = engine::ExchangeEnd::response_received;
 };
 
 }  // namespace chalksail::net::testing
--- a/tests/net/pool_test.cpp
+++ b/tests/net/pool_test.cpp
@@ -20,7 +20,7 @@
         EXPECT_EQ(pool->counts().stale, 1U);
         if (!more.empty()) peer.disconnect(false);
         answer(peer);
-        EXPECT_EQ(ending, engine::Ending::answered);
+        EXPECT_EQ(ending, engine::ExchangeEnd::response_received);
     }
 }
 
@@ -65,18 +65,18 @@
     call(one);
     until([&] { return written; });
     call(other);
-    EXPECT_EQ(ending, engine::Ending::no_resources);
+    EXPECT_EQ(ending, engine::ExchangeEnd::no_resources);
     over = false;
     written = true;  // the first one's
     answer(one);
-    ending = engine::Ending::answered;
+    ending = engine::ExchangeEnd::response_received;
     call(other);  // in place of the one at rest
     answer(other);
     EXPECT_EQ(pool->counts().connections, 1U);
     call(other);
     call(third, "", true);
     answer(third);
-    EXPECT_EQ(ending, engine::Ending::answered);
+    EXPECT_EQ(ending, engine::ExchangeEnd::response_received);
 }
 
 }  // namespace
--- a/tests/net/tls_socket_test.cpp
+++ b/tests/net/tls_socket_test.cpp
@@ -253,7 +253,7 @@
     TlsEngine& read = engine("prefill-1.lekki.example.org");
     auto s = settings(read, read);
     s.servers[1].address = writer->address;
-    s.module.dial_timeout = 100ms;
+    s.router.dial_timeout = 100ms;
     log = std::make_unique<observe::Log>("t", "error");
     edge = std::make_unique<EdgeServer>(loop, s, *log);
     RawClient& c = client();
@@ -321,7 +321,7 @@
     void on_head(UpstreamPool::Call, int s, http::Headers) override { status = s; }
     void on_body(UpstreamPool::Call, std::string bytes) override { got += bytes; }
     void on_done(UpstreamPool::Call) override { done = true; }
-    void on_failed(UpstreamPool::Call, engine::Ending, std::string detail) override { failed = detail; }
+    void on_failed(UpstreamPool::Call, engine::ExchangeEnd, std::string detail) override { failed = detail; }
 };
 
 TEST_F(TlsRig, ListenerShowsTheRequestedCertificateAndReplacesIt) {
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -21,7 +21,7 @@
     EXPECT_EQ(c->discovery, (Address{"10.2.0.1", 8500}));
     EXPECT_EQ(c->seed, 0x8c1f30d27a5be964U);
     EXPECT_EQ(c->limits.sockets, 256);
-    EXPECT_EQ(c->server_idle, 15s);
+    EXPECT_EQ(c->server_idle_timeout, 15s);
     EXPECT_EQ(c->settings.classes.at(1).idempotency, Idempotency::non_idempotent);
     ASSERT_TRUE(c->known);
     EXPECT_EQ(c->known->endpoints.at(0).id, "s-1");
@@ -97,7 +97,7 @@
     EXPECT_EQ(r->id, "9b1f");
     EXPECT_EQ(r->session, "s1");
     EXPECT_EQ(r->prefix, "5c0f");
-    EXPECT_EQ(r->time_left, 4800ms);
+    EXPECT_EQ(r->time_remaining, 4800ms);
     EXPECT_EQ(r->prompt_tokens, 500);
     EXPECT_EQ(r->shared_tokens, 200);
     EXPECT_EQ(r->max_output, 80);
@@ -130,18 +130,18 @@
                              }()));
 
 TEST(PlatformRequest, DurationsAreParsedAndFormatted) {
-    EXPECT_EQ(parse_time_left("350u"), Duration(350us));
-    EXPECT_EQ(format_time_left(4800ms), "4800m");
+    EXPECT_EQ(parse_time_remaining("350u"), Duration(350us));
+    EXPECT_EQ(format_time_remaining(4800ms), "4800m");
     EXPECT_EQ(format_retry_after(250ms), "0.250");
 }
 
 // ---- answers ----
 
 TEST(PlatformAnswer, OutcomesFollowThePlatformsRules) {
-    const auto of = [](Facts f) { return judge(f).outcome; };
-    const Facts sent{Ended::answered, true, false, false, false, 0, false};
+    const auto of = [](AttemptObservation f) { return classify(f).outcome; };
+    const AttemptObservation sent{ExchangeEnd::response_received, true, false, false, false, 0, false};
     const auto with = [&](auto change) {
-        Facts f = sent;
+        AttemptObservation f = sent;
         change(f);
         return f;
     };
@@ -153,23 +153,25 @@
     EXPECT_EQ(of(with([](auto& f) { f.status = 503, f.not_run = true; })), AttemptOutcome::at_capacity);
     EXPECT_EQ(of(with([](auto& f) { f.status = 504, f.not_run = true; })), AttemptOutcome::at_capacity);
     EXPECT_EQ(of(with([](auto& f) { f.status = 500, f.not_run = true; })), AttemptOutcome::error);
-    EXPECT_TRUE(judge(with([](auto& f) { f.status = 410, f.not_run = true; })).kv_state_missing);
+    EXPECT_TRUE(classify(with([](auto& f) { f.status = 410, f.not_run = true; })).kv_state_missing);
     EXPECT_EQ(of(with([](auto& f) { f.status = 202, f.prefill = f.complete = true; })),
               AttemptOutcome::prefilled);
     EXPECT_EQ(of(with([](auto& f) { f.status = 202, f.complete = true; })),
               AttemptOutcome::error);  // not at a prefill server
     // Whether the request's last byte was sent makes the difference.
-    for (const auto ended : {Ended::no_connection, Ended::broke, Ended::timed_out, Ended::cancelled}) {
-        Facts f;
-        f.ended = ended;
+    for (const auto ending : {ExchangeEnd::no_connection, ExchangeEnd::connection_closed,
+                              ExchangeEnd::timed_out, ExchangeEnd::cancelled}) {
+        AttemptObservation f;
+        f.ending = ending;
         EXPECT_EQ(of(f), AttemptOutcome::connect_failed);
         f.written = true;
         EXPECT_NE(of(f), AttemptOutcome::connect_failed);
     }
-    EXPECT_EQ(of(with([](auto& f) { f.ended = Ended::broke; })), AttemptOutcome::reset);
-    EXPECT_EQ(of(with([](auto& f) { f.ended = Ended::timed_out; })), AttemptOutcome::timeout);
-    EXPECT_EQ(of(with([](auto& f) { f.ended = Ended::malformed; })), AttemptOutcome::error);
-    EXPECT_EQ(of(with([](auto& f) { f.ended = Ended::malformed, f.started = true; })), AttemptOutcome::reset);
+    EXPECT_EQ(of(with([](auto& f) { f.ending = ExchangeEnd::connection_closed; })), AttemptOutcome::reset);
+    EXPECT_EQ(of(with([](auto& f) { f.ending = ExchangeEnd::timed_out; })), AttemptOutcome::timeout);
+    EXPECT_EQ(of(with([](auto& f) { f.ending = ExchangeEnd::malformed_response; })), AttemptOutcome::error);
+    EXPECT_EQ(of(with([](auto& f) { f.ending = ExchangeEnd::malformed_response, f.started = true; })),
+              AttemptOutcome::reset);
 }
 
 TEST(PlatformAnswer, EventsAreUnchangedHoweverTheBytesArrive) {
