--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -6,9 +6,9 @@
 namespace chalksail::policy {
 namespace {
 
-constexpr double kSmallestUrgency = 1e-9;  // keeps a ratio finite
-constexpr int kTicksToAnswer = 2;          // before the deadline: a step may be one late
-constexpr int kAttemptsFromPrefill = 2;    // a prefill and a decode
+constexpr double kMinUrgency = 1e-9;     // avoids a division by zero
+constexpr int kAnswerMarginTicks = 2;    // ticks before the deadline, as a step may run one tick late
+constexpr int kAttemptsWithPrefill = 2;  // one prefill attempt and one decode attempt
 
 }  // namespace
 
@@ -32,23 +32,24 @@
 
 bool Admission::rejects(const Request& request, bool has_decode_server, const StepContext& context) const {
     const Time now = context.now;
-    if (now + latencies_.service_time(request) + kTicksToAnswer * settings_.tick >= request.deadline)
+    if (now + latencies_.service_time(request) + kAnswerMarginTicks * settings_.tick >= request.deadline)
         return true;
-    const int attempts_needed = request.state_at ? 1 : kAttemptsFromPrefill;
+    const int attempts_needed = request.kv_state_server ? 1 : kAttemptsWithPrefill;
     if (retry_policy_.attempts_left(request.history) < attempts_needed) return true;
-    // A decode server that comes after the objective comes too late.
+    // After the objective, the request does not wait for a decode server to enter service.
     if (now >= request.objective && !has_decode_server) return true;
     return context.sparse_observations && sheds(request, now);
 }
 
-// KV states first, as their time runs; then the most urgent, then the one whose objective ends first.
+// Requests with a KV state come first, as it must be released within a time limit; then by urgency, then by
+// the earliest objective.
 void Admission::sort(std::vector<Request*>& held, Time now) const {
     std::vector<std::pair<Request*, double>> ranked;
     ranked.reserve(held.size());
     for (Request* request : held) ranked.emplace_back(request, urgency(*request, now));
     std::stable_sort(ranked.begin(), ranked.end(), [](const auto& a, const auto& b) {
-        if (a.first->state_at.has_value() != b.first->state_at.has_value())
-            return a.first->state_at.has_value();
+        if (a.first->kv_state_server.has_value() != b.first->kv_state_server.has_value())
+            return a.first->kv_state_server.has_value();
         if (a.second != b.second) return a.second > b.second;
         return a.first->objective < b.first->objective;
     });
@@ -56,7 +57,7 @@
 }
 
 bool Admission::overloaded(const StepContext& context) const {
-    return context.sparse_observations && prefill_share_.mean() > kPrefillQueueShare;
+    return context.sparse_observations && prefill_share_.mean() > kPrefillQueueFraction;
 }
 
 double Admission::urgency(const Request& request, Time now) const {
@@ -69,15 +70,15 @@
     return weight / std::max(1.0, requests_.mean_work(request.class_index));
 }
 
-// In an overload each gateway admits a part of what arrives, by urgency; it rejects the rest, and what would
-// miss its objective after waiting.
+// In an overload each gateway admits a fraction of the arriving requests, weighted by urgency. It rejects the
+// others, and held requests that would miss their objective.
 bool Admission::sheds(const Request& request, Time now) const {
-    const double admitted = kPrefillQueueShare / std::max(kPrefillQueueShare, prefill_share_.mean());
-    if (admitted >= 1 || request.state_at) return false;
+    const double admitted = kPrefillQueueFraction / std::max(kPrefillQueueFraction, prefill_share_.mean());
+    if (admitted >= 1 || request.kv_state_server) return false;
     if (!RetryPolicy::may_reject(*request.class_settings, request.history)) return false;
     if (request.arrived_at < now) return now + latencies_.service_time(request) > request.objective;
     return hash_to_unit_interval(seed_, std::to_string(request.arrival.id.value)) >
-           admitted * urgency(request, now) / std::max(kSmallestUrgency, mean_urgency_.mean());
+           admitted * urgency(request, now) / std::max(kMinUrgency, mean_urgency_.mean());
 }
 
 }  // namespace chalksail::policy
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -1,5 +1,4 @@
-// Admission: the order in which held requests are served, which of them are shed in an overload, and the
-// tenants' quotas.
+// Admission control: orders held requests, sheds load in an overload and applies the tenants' quotas.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -16,26 +15,29 @@
 
 class Admission {
 public:
-    // All must outlive it. `seed` is this gateway's own: each sheds other requests.
+    // All referenced objects must outlive this one. `seed` differs between gateways, so that they do not all
+    // shed the same requests.
     Admission(const Settings& settings, std::string seed, const RequestTable& requests,
               const LatencyEstimates& latencies, const RetryPolicy& retry_policy);
 
     void refill_quotas(double elapsed_seconds) { quotas_.refill(elapsed_seconds); }
-    // Counts an arrival. Returns whether it is within its tenant's quota.
+    // Records an arrival. Returns whether it is within its tenant's quota.
     [[nodiscard]] bool record_arrival(const Request& request, Time now);
-    // A prefill attempt of the request has ended or been abandoned after this time.
+    // Records that a prefill attempt of the request ended or was cancelled after `elapsed`.
     void record_prefill(const Request& request, Duration elapsed);
 
-    // Whether the request can no longer be served in time, or is shed: it is then answered at once.
+    // Returns whether to answer the request now because it can no longer be served in time, or because it is
+    // shed.
     [[nodiscard]] bool rejects(const Request& request, bool has_decode_server,
                                const StepContext& context) const;
-    // Puts held requests in the order in which they are served.
+    // Sorts held requests into the order in which they are to be served.
     void sort(std::vector<Request*>& held, Time now) const;
-    // Whether prefills queue so long that gateways shed load. Observed with sparse observations only.
+    // Returns whether prefills queue for so long that gateways shed load. Always false without sparse
+    // observations.
     [[nodiscard]] bool overloaded(const StepContext& context) const;
 
 private:
-    // The priority weight for each unit of work if the request starts now.
+    // Returns the priority weight per unit of work if the request starts now.
     [[nodiscard]] double urgency(const Request& request, Time now) const;
     [[nodiscard]] bool sheds(const Request& request, Time now) const;
 
@@ -45,8 +47,8 @@
     const LatencyEstimates& latencies_;
     const RetryPolicy& retry_policy_;
     TenantQuotas quotas_;
-    RunningMean prefill_share_;  // of the objective that a prefill takes
-    RunningMean mean_urgency_;   // of arrivals
+    RunningMean prefill_share_;  // duration of a prefill as a fraction of the latency objective
+    RunningMean mean_urgency_;   // mean urgency of arriving requests
 };
 
 }  // namespace chalksail::policy
--- a/src/policy/attempt_recorder.cpp
+++ b/src/policy/attempt_recorder.cpp
@@ -29,7 +29,7 @@
     const bool not_run =
         event.outcome == AttemptOutcome::at_capacity || event.outcome == AttemptOutcome::connect_failed;
     if (not_run && !slow_start_.is_warming_up(server.endpoint.started_at, now))
-        slow_start_.take_back(server.role, requests_.mean_work(request.class_index));
+        slow_start_.record_not_run(server.role, requests_.mean_work(request.class_index));
     switch (event.outcome) {
         case AttemptOutcome::ok: record_served(server, request, attempt, context); break;
         case AttemptOutcome::prefilled:
@@ -45,7 +45,7 @@
         case AttemptOutcome::cancelled:
         case AttemptOutcome::timeout: record_unanswered(server, request, attempt, event, context.now); break;
         case AttemptOutcome::connect_failed:
-            // For a client that has left the connect was abandoned: that says nothing of the server.
+            // When the client disconnects, the connection attempt is aborted, which is not a server failure.
             if (!request.answered) outliers_.eject(id, server.health, now);
             break;
         case AttemptOutcome::reset: outliers_.eject(id, server.health, now); break;
--- a/src/policy/attempt_recorder.hpp
+++ b/src/policy/attempt_recorder.hpp
@@ -1,5 +1,5 @@
-// What attempts tell about their servers: takes each attempt's start, end and load report to the parts that
-// learn from it. Decides nothing, and has no state of its own.
+// Forwards the start, end and load report of each attempt to the components that maintain statistics about
+// servers. Makes no decisions and has no state of its own.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -18,7 +18,7 @@
 
 class AttemptRecorder {
 public:
-    // All must outlive it.
+    // All referenced objects must outlive this one.
     AttemptRecorder(const RequestTable& requests, Admission& admission, ConcurrencyLimit& limits,
                     LatencyEstimates& latencies, OutlierDetection& outliers, SlowStart& slow_start)
         : requests_(requests),
@@ -28,12 +28,13 @@
           outliers_(outliers),
           slow_start_(slow_start) {}
 
-    // The attempt is sent to the server.
+    // Records that the attempt is sent to the server.
     void record_sent(Server& server, const Request& request, const Attempt& attempt);
-    // The attempt at the server has ended. `request.answered`: its client had left before.
+    // Records that the attempt at the server has ended. `request.answered` is set if the client had
+    // disconnected before.
     void record_end(Server& server, const Request& request, const Attempt& attempt, const AttemptEnded& event,
                     const StepContext& context);
-    // The report that came with an attempt's end or a health check; empty: none.
+    // Records the load report from the end of an attempt or from a health check. An empty report is ignored.
     void record_load_report(Server& server, const std::vector<double>& report, const StepContext& context);
 
 private:
--- a/src/policy/candidate_set.cpp
+++ b/src/policy/candidate_set.cpp
@@ -9,8 +9,8 @@
 }
 
 const std::vector<Server*>& CandidateSet::candidates(const Request& request, Stage stage) {
-    const auto [it, fresh] = candidates_.try_emplace(std::pair(request.class_index, stage));
-    if (!fresh) return it->second;
+    const auto [it, inserted] = candidates_.try_emplace(std::pair(request.class_index, stage));
+    if (!inserted) return it->second;
     for (auto& [id, server] : endpoints_.all()) {
         const bool prefills = server.role == Role::prefill;
         if (prefills == (stage == Stage::prefill) && accepts_class(server, request.class_index))
@@ -46,7 +46,7 @@
 CandidateSet::Preference CandidateSet::preference(const Server& server, const Request& request) {
     if (request.history.failed_at.contains(server.endpoint.id)) return Preference::failed_here;
     const bool repeatable = request.class_settings->idempotency == Idempotency::idempotent;
-    return !repeatable && server.health.recently_failed() ? Preference::failed_lately : Preference::none;
+    return !repeatable && server.health.recently_failed() ? Preference::failed_recently : Preference::none;
 }
 
 }  // namespace chalksail::policy
--- a/src/policy/candidate_set.hpp
+++ b/src/policy/candidate_set.hpp
@@ -1,6 +1,6 @@
-// The servers that may take a request now, by the endpoint list, slow start, outlier detection and the retry
-// policy, and the choice of the best of them. Servers that take a class are found once a step, as each held
-// request would otherwise walk over the whole fleet.
+// Determines the servers that may receive a request now, given the endpoint list, slow start, outlier
+// detection and the retry policy, and selects the best of them. The servers for each request class are
+// determined once per step, because a scan of the whole fleet for each held request is too slow.
 #pragma once
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 
 class CandidateSet {
 public:
-    // All must outlive the set.
+    // All referenced objects must outlive the set.
     CandidateSet(const Settings& settings, const RequestTable& requests, EndpointTable& endpoints,
                  SlowStart& slow_start, const OutlierDetection& outliers, const RetryPolicy& retry_policy)
         : settings_(settings),
@@ -30,19 +30,19 @@
           outliers_(outliers),
           retry_policy_(retry_policy) {}
 
-    // Forgets what the last step found.
+    // Clears the candidates of the previous step.
     void begin_step(Time now);
-    // The servers that took the request's class when the step first needed them. What the step has sent since
-    // may close some of them: check usable() too. A warming server whose budget has grown since is found at
-    // the next step.
+    // Returns the servers that accepted the request's class when this step first asked for them. Requests
+    // sent since then may have used up the capacity of some, so check usable() too. A warming server whose
+    // budget has grown since then is included from the next step on.
     const std::vector<Server*>& candidates(const Request& request, Stage stage);
-    // Whether the request may go there now.
+    // Returns whether the request may be sent to the server now.
     [[nodiscard]] bool usable(const Server& server, const Request& request);
     [[nodiscard]] bool any_usable(const Request& request, Stage stage);
 
-    // The usable candidate with the highest score among those for which `fits` holds; null: none. Servers
-    // where the request has failed come last, and before them, if it must not run twice, those that have
-    // failed lately. Of equal scores the first id wins.
+    // Returns the usable candidate with the highest score among those for which `fits` returns true, or null
+    // if there is none. Servers where this request has failed rank last. For requests that must not run
+    // twice, servers with recent failures rank next to last. The lowest id wins a tie.
     template <class Fits, class Score>
     Server* best(const Request& request, Stage stage, Fits fits, Score score) {
         Server* best = nullptr;
@@ -59,9 +59,9 @@
     }
 
 private:
-    enum class Preference { failed_here, failed_lately, none };
+    enum class Preference { failed_here, failed_recently, none };
     [[nodiscard]] static Preference preference(const Server& server, const Request& request);
-    // Whether the server takes any request of this class.
+    // Returns whether the server accepts requests of this class.
     [[nodiscard]] bool accepts_class(const Server& server, std::size_t class_index);
     [[nodiscard]] bool has_slow_start_budget(const Server& server, std::size_t class_index);
     [[nodiscard]] const FleetSummary& summary() const {
--- a/src/policy/endpoint_table.cpp
+++ b/src/policy/endpoint_table.cpp
@@ -5,7 +5,7 @@
 namespace chalksail::policy {
 namespace {
 
-constexpr double kUnknownMemory = 100'000;  // tokens, where the settings give none
+constexpr double kDefaultMemoryTokens = 100'000;  // for server kinds without a memory setting
 
 }  // namespace
 
@@ -26,12 +26,12 @@
     if (update.kind != EndpointUpdateKind::delta)
         for (auto& [id, server] : servers_) server.listed = false;
     for (const Endpoint& endpoint : update.endpoints) {
-        const auto [it, fresh] = servers_.try_emplace(endpoint.id);
+        const auto [it, inserted] = servers_.try_emplace(endpoint.id);
         Server& server = it->second;
-        const bool restarted = !fresh && server.endpoint.started_at != endpoint.started_at;
+        const bool restarted = !inserted && server.endpoint.started_at != endpoint.started_at;
         server.endpoint = endpoint;
         server.listed = endpoint.state != EndpointState::removed;
-        if (!fresh && !restarted) continue;
+        if (!inserted && !restarted) continue;
         set_kind(server);
         started.push_back(&server);
     }
@@ -44,7 +44,7 @@
                      [&](const auto& candidate) { return candidate.name == server.endpoint.kind; });
     const bool known = kind != settings_.kinds.end();
     server.role = known ? kind->role : Role::mixed;
-    server.memory_tokens = known && kind->memory_tokens > 0 ? kind->memory_tokens : kUnknownMemory;
+    server.memory_tokens = known && kind->memory_tokens > 0 ? kind->memory_tokens : kDefaultMemoryTokens;
     if (server.role != Role::prefill)
         largest_decode_memory_ = std::max(largest_decode_memory_, server.memory_tokens);
 }
--- a/src/policy/endpoint_table.hpp
+++ b/src/policy/endpoint_table.hpp
@@ -1,6 +1,6 @@
-// The servers of the endpoint list. Owns each Server; a server that has left the list stays until its last
-// attempt and KV state have ended. What the other parts know of a server is stored beside its endpoint, as a
-// type of theirs that only they change.
+// The servers of the endpoint list. Owns each Server. A server that has left the list is kept until its last
+// attempt and KV state have ended. Each component stores its state of a server next to the endpoint, in a
+// type of its own that only this component modifies.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -22,8 +22,8 @@
     Role role = Role::mixed;
     double memory_tokens = 0;  // KV cache capacity
     bool listed = true;
-    int references = 0;                // attempts in flight and KV states that wait there
-    double queued_prefill_tokens = 0;  // uncached prompt tokens of own unfinished prefills
+    int references = 0;                // attempts in flight and KV states waiting at the server
+    double queued_prefill_tokens = 0;  // uncached prompt tokens of this gateway's prefills in flight
     ServerLimit limit;
     ServerHealth health;
     ServerLatency latency;
@@ -40,21 +40,22 @@
 
     [[nodiscard]] Server* find(const ServerId& id);
     [[nodiscard]] const Server* find(const ServerId& id) const;
-    // In order of their ids.
+    // All servers, ordered by id.
     [[nodiscard]] const std::map<ServerId, Server>& all() const { return servers_; }
     [[nodiscard]] std::map<ServerId, Server>& all() { return servers_; }
 
-    // Takes over an update with endpoints. Returns the servers that are new or have started anew; what the
-    // other parts know of them no longer holds.
+    // Applies an update with endpoints. Returns the servers that are new or have restarted, whose
+    // observations must be reset.
     [[nodiscard]] std::vector<Server*> merge(const EndpointUpdate& update);
-    // Drops servers that are neither listed nor in use, and counts the others. Returns the dropped ones.
+    // Removes servers that are neither listed nor in use, and rebuilds the topology. Returns the ids of the
+    // removed servers.
     [[nodiscard]] std::vector<ServerId> remove_unlisted();
 
     [[nodiscard]] const FleetTopology& topology() const { return topology_; }
-    // Sums over the servers, counted again only behind an update, a change of a server's health (another
-    // `health_version`) or as a server has warmed up.
+    // Returns totals over the servers. They are recomputed only after an update, a change of a server's
+    // health (a different `health_version`) or the end of a server's warm-up.
     [[nodiscard]] const FleetSummary& summary(Time now, std::uint64_t health_version) const;
-    // The memory of the largest decode or mixed server seen so far, in tokens.
+    // Returns the memory of the largest decode or mixed server seen so far, in tokens.
     [[nodiscard]] double largest_decode_memory() const { return largest_decode_memory_; }
 
 private:
--- a/src/policy/fleet_summary.hpp
+++ b/src/policy/fleet_summary.hpp
@@ -1,6 +1,6 @@
-// Sums over all servers in service that a step needs many times: how many of each role are warm or healthy,
-// and the memory of the decode servers. With thousands of servers a walk for each question, and a question
-// for each server, would cost the square of the fleet; EndpointTable says when they are counted again.
+// Totals over all servers in service that a step reads many times: the numbers of warm and healthy servers of
+// each role, and the memory of the decode servers. Computing them for each server would take time quadratic
+// in the size of the fleet, which may be thousands of servers. EndpointTable decides when to recompute them.
 #pragma once
 
 #include <array>
@@ -13,22 +13,24 @@
 class FleetSummary {
 public:
     FleetSummary() = default;
-    // A server warms up for `slow_start_duration`, and has this part of its capacity meanwhile.
+    // A server warms up for `slow_start_duration`; in that time it counts with the fraction
+    // `initial_capacity` of its memory.
     FleetSummary(Duration slow_start_duration, double initial_capacity)
         : slow_start_duration_(slow_start_duration), initial_capacity_(initial_capacity) {}
 
-    // Counts a server in service.
+    // Adds a server that is in service.
     void add(Role role, Time started_at, const ServerHealth& health, double memory_tokens, Time now);
 
-    // Servers of exactly this role that are not warming up.
+    // Returns the number of servers of exactly this role that are not warming up.
     [[nodiscard]] std::int64_t warm(Role role) const { return warm_[index(role)]; }
-    // Whether a server in good standing can do this role's work.
+    // Returns whether a server in good standing can do the work of this role.
     [[nodiscard]] bool has_healthy(Role role) const;
-    // Whether a decode or mixed server is in service.
+    // Returns whether a decode or mixed server is in service.
     [[nodiscard]] bool has_decode_server() const { return decode_servers_ > 0; }
-    // Of decode and mixed servers that are not ejected, in tokens; a warming one counts in part.
+    // Returns the memory of decode and mixed servers that are not ejected, in tokens. A warming server counts
+    // in part.
     [[nodiscard]] double decode_memory() const { return decode_memory_; }
-    // When the first of the warming servers is warm and the sums no longer hold.
+    // Returns the time at which the first of the warming servers is warm, so that the totals are out of date.
     [[nodiscard]] Time next_warm_up() const { return next_warm_up_; }
 
 private:
--- a/src/policy/fleet_topology.cpp
+++ b/src/policy/fleet_topology.cpp
@@ -5,12 +5,13 @@
 namespace chalksail::policy {
 namespace {
 
-constexpr double kLeastRatio = 0.7;  // prefill servers beside few decode servers get at least this part ...
-constexpr double kMostRatio = 1.3;   // ... of the mean, and those beside many at most this
-constexpr double kMostLocal = 0.5;   // part of the prefills that stay in this zone, at most: some are busier
-constexpr double kSmallestRatio = 0.01;  // keeps divisions finite
+// Bounds of a prefill server's weight relative to the mean, by the number of decode servers in its cell.
+constexpr double kMinRelativeRatio = 0.7;
+constexpr double kMaxRelativeRatio = 1.3;
+constexpr double kMaxLocalShare = 0.5;  // of prefills that stay in the local zone, as some zones are busier
+constexpr double kMinDivisor = 0.01;    // avoids a division by zero
 
-double clamped_ratio(double ratio) { return std::clamp(ratio, kLeastRatio, kMostRatio); }
+double clamped_ratio(double ratio) { return std::clamp(ratio, kMinRelativeRatio, kMaxRelativeRatio); }
 
 }  // namespace
 
@@ -20,7 +21,7 @@
 }
 
 double RoleCounts::decode_ratio() const {
-    return count_[index(Role::decode)] / std::max(kSmallestRatio, prefill_servers());
+    return count_[index(Role::decode)] / std::max(kMinDivisor, prefill_servers());
 }
 
 double RoleCounts::mean_weight(Role role) const {
@@ -50,7 +51,7 @@
 
 double FleetTopology::decode_demand(std::int64_t cell) const {
     const double ratio = relative_decode_ratio(cell);
-    return clamped_ratio(ratio) / std::max(kSmallestRatio, ratio);
+    return clamped_ratio(ratio) / std::max(kMinDivisor, ratio);
 }
 
 double FleetTopology::spare_decode_share(std::int64_t cell) const {
@@ -60,7 +61,7 @@
 double FleetTopology::relative_decode_ratio(std::int64_t cell) const {
     const auto counts = cells_.find(cell);
     if (counts == cells_.end()) return 1;
-    return counts->second.decode_ratio() / std::max(kSmallestRatio, fleet_.decode_ratio());
+    return counts->second.decode_ratio() / std::max(kMinDivisor, fleet_.decode_ratio());
 }
 
 double FleetTopology::local_zone_weight() const {
@@ -69,7 +70,7 @@
     const double local = zone == zones_.end() ? 0 : zone->second.prefill_servers();
     if (local <= 0 || local >= all) return 1;
     const auto zones = static_cast<double>(zones_.size());
-    const double share = std::min(kMostLocal, zones * local / all);
+    const double share = std::min(kMaxLocalShare, zones * local / all);
     return share / (1 - share) * (all - local) / local;
 }
 
--- a/src/policy/outlier_detection.hpp
+++ b/src/policy/outlier_detection.hpp
@@ -1,5 +1,5 @@
-// Outlier detection: ejects servers that fail or fall silent, and lets them back in steps: after the ejection
-// time a health check where allowed, then one idempotent request at a time (the trial), then all.
+// Outlier detection: ejects servers that fail or stop responding, and readmits them in steps. After the
+// ejection time follow a health check, if enabled, and a trial with one idempotent request at a time.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -10,14 +10,15 @@
 
 namespace chalksail::policy {
 
-// The health of one server as this gateway observes it. Changed by OutlierDetection only.
+// The health of one server as observed by this gateway. Only OutlierDetection modifies it.
 class ServerHealth {
 public:
-    // Neither ejected nor on trial.
+    // Returns whether the server is neither ejected nor on trial.
     [[nodiscard]] bool in_good_standing() const { return ejection_ == Duration::zero(); }
-    // Kept out after failures, and not yet let back on trial.
+    // Returns whether the server is excluded after failures and its trial has not begun.
     [[nodiscard]] bool ejected() const { return !in_good_standing() && !trial_open_; }
-    // One error may be the first of many: requests that must not run twice rather go elsewhere.
+    // Returns whether the server has recent errors. Requests that must not run twice prefer other servers
+    // after a single error, as more may follow.
     [[nodiscard]] bool recently_failed() const;
     [[nodiscard]] Time last_answer() const { return last_answer_; }
 
@@ -27,16 +28,16 @@
     Time last_answer_{};
     Time last_sent_{};
     Time ejected_until_{};
-    Duration ejection_{};  // length of the last one; zero: in good standing
-    int trial_passes_ = 0;
-    bool trial_open_ = false;  // a health check or time has let it back on trial
-    bool checking_ = false;    // a health check is in flight
+    Duration ejection_{};  // length of the last ejection; zero: in good standing
+    int trial_successes_ = 0;
+    bool trial_open_ = false;              // may receive a trial request
+    bool health_check_in_flight_ = false;  // sent, and its result is not known yet
     Time silence_checked_at_{};
     Time check_passed_at_{};
     Time check_failed_at_{};
 };
 
-// What to do about an attempt whose server is silent.
+// The response to a silent server with an attempt in flight.
 struct SilenceResponse {
     bool send_health_check = false;
     bool cancel_attempt = false;
@@ -46,17 +47,18 @@
 public:
     explicit OutlierDetection(const Settings& settings);
 
-    // Grows with each change of a server's standing or trial, for sums that are counted over servers.
+    // Returns a number that increases with each change of a server's standing or trial, so that callers know
+    // when to recompute totals over servers.
     [[nodiscard]] std::uint64_t version() const { return version_; }
-    // Servers that are ejected or on trial, in order of their ids.
+    // Returns the servers that are ejected or on trial, ordered by id.
     [[nodiscard]] const std::set<ServerId>& unhealthy_servers() const { return unhealthy_; }
 
-    // Whether a server out of good standing takes a request now. `role_has_healthy`: another server can do
-    // the same work in good standing.
+    // Returns whether the server may receive a request now. `role_has_healthy` tells whether a server in good
+    // standing can do the same work.
     [[nodiscard]] bool admits(const ServerHealth& server, Idempotency idempotency, bool role_has_healthy,
                               Time now) const;
 
-    void restart(const ServerId& id, ServerHealth& server);  // a new process: its past does not count
+    void restart(const ServerId& id, ServerHealth& server);  // for a new server process
     void forget(const ServerId& id) { unhealthy_.erase(id); }
     void record_sent(ServerHealth& server, Time now);
     static void record_answer(ServerHealth& server, Time now) { server.last_answer_ = now; }
@@ -65,11 +67,13 @@
     void eject(const ServerId& id, ServerHealth& server, Time now);
     void record_health_check(ServerHealth& server, const HealthCheckEnded& result, Time now);
 
-    // The way back of an idle server whose ejection has passed. True: a health check is to be sent.
-    [[nodiscard]] bool begin_return(ServerHealth& server, Time now);
-    // When begin_return() may act on the server; none while a health check or a trial decides.
-    [[nodiscard]] static std::optional<Time> return_due(const ServerHealth& server);
-    // What to do about an attempt sent at `sent_at`, not answered and with the given timeout.
+    // Begins the readmission of an idle server whose ejection time has passed. Returns whether the caller
+    // must send a health check.
+    [[nodiscard]] bool begin_readmission(ServerHealth& server, Time now);
+    // Returns the time from which begin_readmission() may act on the server, or nullopt during a health check
+    // or a trial.
+    [[nodiscard]] static std::optional<Time> readmission_due(const ServerHealth& server);
+    // Returns the response to an unanswered attempt that was sent at `sent_at` with the given timeout.
     [[nodiscard]] SilenceResponse check_silence(ServerHealth& server, Time sent_at, Duration attempt_timeout,
                                                 const StepContext& context);
 
@@ -83,7 +87,8 @@
     Duration longest_ejection_;
     std::set<ServerId> unhealthy_;
     std::uint64_t version_ = 0;
-    bool checks_queue_ = false;  // health checks wait behind requests: a late one only means a busy server
+    bool health_checks_queue_ =
+        false;  // health checks queue behind requests: a late one only shows that the server is busy
 };
 
 }  // namespace chalksail::policy
--- a/src/policy/prefill_selection.cpp
+++ b/src/policy/prefill_selection.cpp
@@ -7,10 +7,14 @@
 namespace chalksail::policy {
 namespace {
 
-constexpr double kPrefillSecondsPerToken = 3.2e-4;  // time of a prompt token, paper's units (paper, 5.2)
-constexpr double kTieSeconds = 4.0;                 // below it servers tie: some four usual prompts under way
-constexpr double kWaitForCachedText = 0.7;  // of the objective: a request waits so long for who has its text
-constexpr double kMuchCachedText = 0.3;     // of the prompt: by so much more than where there is space
+// Prefill time per prompt token, in the paper's units (paper, 5.2).
+constexpr double kPrefillSecondsPerToken = 3.2e-4;
+// Servers with a shorter queue tie: about four prompts of typical size.
+constexpr double kTieThresholdSeconds = 4.0;
+// Maximum wait for a server that has the text cached, as a fraction of the objective.
+constexpr double kCachedTextWaitFraction = 0.7;
+// Minimum additional cached text that justifies the wait, as a fraction of the prompt.
+constexpr double kMinCachedTextAdvantage = 0.3;
 
 }  // namespace
 
@@ -20,7 +24,7 @@
                                        : select_by_session(request, candidates, decode_capacity);
 }
 
-// Ties go to a cell with decode capacity, then to the session's own text, the local zone, and last by hash.
+// Breaks ties by decode capacity in the cell, then cached text of the session, the local zone and hash.
 Server* PrefillSelection::select_by_session(const Request& request, CandidateSet& candidates,
                                             const DecodeCapacity& decode_capacity) const {
     const RequestArrived& arrival = request.arrival;
@@ -36,8 +40,8 @@
         });
 }
 
-// Ties go to the session's own text, then to the servers that all gateways have for the prefix, and last by
-// weighted hash.
+// Breaks ties by cached text of the session, then by the placement of the prefix that all gateways compute
+// alike, then by weighted hash.
 Server* PrefillSelection::select_by_shared_placement(const Request& request, CandidateSet& candidates) {
     const RequestArrived& arrival = request.arrival;
     const double lowest_rank = prefixes_.lowest_rank(arrival.prefix);
@@ -54,14 +58,15 @@
 
 bool PrefillSelection::should_wait_for_cached_text(const Server& selected, const Request& request,
                                                    CandidateSet& candidates, Time now) const {
-    const Duration wait = from_seconds(kWaitForCachedText * seconds(request.objective - request.arrived_at));
+    const Duration wait =
+        from_seconds(kCachedTextWaitFraction * seconds(request.objective - request.arrived_at));
     if (now >= request.arrived_at + wait) return false;
     const double cached_there = PromptCache::reported_tokens(selected.endpoint.id, request);
     const auto has_much_more = [&](const CachedPrefix& report) {
         const Server* server = endpoints_.find(report.server);
         return server != nullptr && server->cache.reported() && candidates.usable(*server, request) &&
                score(*server, request) >= score(selected, request) &&
-               report.tokens - cached_there > kMuchCachedText * request.arrival.prompt_tokens;
+               report.tokens - cached_there > kMinCachedTextAdvantage * request.arrival.prompt_tokens;
     };
     const auto& reports = request.arrival.cached_prefixes;
     return std::any_of(reports.begin(), reports.end(), has_much_more);
@@ -71,15 +76,15 @@
     const double tokens =
         server.cache.uncached_tokens(server.endpoint.id, request) + server.queued_prefill_tokens;
     const double time = kPrefillSecondsPerToken * tokens * server.latency.slowdown();
-    return time < kTieSeconds ? 1 : 1 - time / kTieSeconds;
+    return time < kTieThresholdSeconds ? 1 : 1 - time / kTieThresholdSeconds;
 }
 
 bool PrefillSelection::has_queue_space(const Server& server, const Request& request) const {
     if (server.queued_prefill_tokens <= 0) return true;
     const double tokens = kPrefillOverheadTokens + server.queued_prefill_tokens +
                           server.cache.uncached_tokens(server.endpoint.id, request);
-    const double time = latencies_.prefill_pace() * server.latency.slowdown() * tokens;
-    return time < kPrefillQueueShare * seconds(request.class_settings->first_token_objective);
+    const double time = latencies_.prefill_seconds_per_token() * server.latency.slowdown() * tokens;
+    return time < kPrefillQueueFraction * seconds(request.class_settings->first_token_objective);
 }
 
 }  // namespace chalksail::policy
--- a/src/policy/prefill_selection.hpp
+++ b/src/policy/prefill_selection.hpp
@@ -1,5 +1,5 @@
-// Prefill selection: the prefill server for a request. The least penalty for prompt tokens wins, cached text
-// discounted; below a threshold servers tie, and weighted rendezvous hashing of the session or prefix
+// Selects the prefill server for a request: the one with the lowest penalty for the prompt tokens that are
+// not in its cache. Servers below a threshold tie, and weighted rendezvous hashing of the session or prefix
 // decides, so that the next request with the same text finds it cached.
 #pragma once
 
@@ -17,26 +17,29 @@
 
 class PrefillSelection {
 public:
-    // All must outlive it.
+    // All referenced objects must outlive this one.
     PrefillSelection(const EndpointTable& endpoints, const LatencyEstimates& latencies)
         : endpoints_(endpoints), latencies_(latencies), prefixes_(endpoints) {}
 
     void record_arrival(const Request& request) { prefixes_.record_arrival(request.arrival.prefix); }
     void endpoints_changed() { prefixes_.endpoints_changed(); }
 
-    // The best usable prefill server whose queue is short enough; null: none.
+    // Returns the best usable prefill server whose queue is short enough, or null if there is none.
     [[nodiscard]] Server* select(const Request& request, CandidateSet& candidates,
                                  const DecodeCapacity& decode_capacity, const StepContext& context);
-    // Whether the request had better wait than go to `selected`: another usable server reports to have much
-    // more of its text and only lacks queue space. To prefill it anew would prolong the overload.
+    // Returns whether the request should wait instead of being sent to `selected`, because another usable
+    // server reports much more of its text as cached and only lacks queue space. Another prefill of that text
+    // would prolong the overload.
     [[nodiscard]] bool should_wait_for_cached_text(const Server& selected, const Request& request,
                                                    CandidateSet& candidates, Time now) const;
-    // 1: no prompt penalty; less for each token that the request would wait for, itself included.
+    // Returns 1 without a penalty, and less with each token to prefill before the request's first token,
+    // including its own.
     [[nodiscard]] double score(const Server& server, const Request& request) const;
 
 private:
-    // Whether the request's prefill would be done in a part of its latency objective, at the pace observed:
-    // what would queue longer is held here, in the order of admission.
+    // Returns whether the request's prefill would end within a fraction of its latency objective, at the
+    // observed prefill speed. Requests that would queue longer are held at the gateway, in the order of
+    // admission.
     [[nodiscard]] bool has_queue_space(const Server& server, const Request& request) const;
     [[nodiscard]] Server* select_by_session(const Request& request, CandidateSet& candidates,
                                             const DecodeCapacity& decode_capacity) const;
--- a/src/policy/prefix_placement.cpp
+++ b/src/policy/prefix_placement.cpp
@@ -11,29 +11,32 @@
 namespace chalksail::policy {
 namespace {
 
-constexpr double kCopies = 8;            // servers that cache a prefix, for each server's part of the traffic
-constexpr double kAssumedArrivals = 20;  // of other text, counted as seen: a share of a few means little
-constexpr double kForgottenArrivals = 0.5;  // a prefix with fewer, after halving, is forgotten
+// Number of servers that cache a prefix, relative to its traffic in units of one server's share.
+constexpr double kCopiesPerTrafficShare = 8;
+// Assumed earlier arrivals without the prefix, so that a share of few arrivals counts for little.
+constexpr double kPriorArrivals = 20;
+// Prefixes with fewer arrivals after halving are dropped.
+constexpr double kMinArrivals = 0.5;
 
 }  // namespace
 
 void PrefixPlacement::record_arrival(const std::string& prefix) {
     if (!prefix.empty()) arrivals_by_prefix_[prefix] += 1;
     arrivals_ += 1;
-    if (arrivals_ <= kMostTexts) return;
+    if (arrivals_ <= kMaxTrackedTexts) return;
     arrivals_ /= 2;
     for (auto& [key, arrivals] : arrivals_by_prefix_) arrivals /= 2;
-    std::erase_if(arrivals_by_prefix_, [](const auto& entry) { return entry.second < kForgottenArrivals; });
+    std::erase_if(arrivals_by_prefix_, [](const auto& entry) { return entry.second < kMinArrivals; });
 }
 
 double PrefixPlacement::lowest_rank(const std::string& prefix) {
     const auto arrivals = arrivals_by_prefix_.find(prefix);
     const double servers = endpoints_.topology().prefill_servers();
     if (arrivals == arrivals_by_prefix_.end() || servers <= 0) return 0;
-    const double copies =
-        std::min(servers, std::ceil(kCopies * servers * arrivals->second / (kAssumedArrivals + arrivals_)));
-    // Ranked anew only for another number of copies, or behind a change of the list.
-    if (ranked_.size() > kMostTexts) ranked_.clear();
+    const double copies = std::min(servers, std::ceil(kCopiesPerTrafficShare * servers * arrivals->second /
+                                                      (kPriorArrivals + arrivals_)));
+    // Recomputes the rank only for a different number of copies or after a change of the endpoint list.
+    if (ranked_.size() > kMaxTrackedTexts) ranked_.clear();
     RankedPrefix& known = ranked_[prefix];
     if (known.copies != copies) known = {copies, rank_of_copy(prefix, copies)};
     return known.lowest_rank;
--- a/src/policy/prefix_placement.hpp
+++ b/src/policy/prefix_placement.hpp
@@ -1,6 +1,6 @@
-// Which prefill servers cache a shared prefix: the first few by its hash, as many as its traffic needs, and a
-// session at one of these. Gateways that estimate another number still agree on most sessions. Used with
-// sparse observations, where no gateway sees all of a prefix's traffic.
+// Determines which prefill servers cache a shared prefix: the highest ranked by a hash with the prefix, as
+// many as its traffic needs. Each session uses one of them. Gateways that estimate different numbers still
+// agree on most sessions. Used with sparse observations, where no gateway sees all requests with a prefix.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -15,17 +15,18 @@
 public:
     explicit PrefixPlacement(const EndpointTable& endpoints) : endpoints_(endpoints) {}
 
-    // An arrival with this prefix; empty: with none.
+    // Records the arrival of a request with this prefix, or without a prefix if it is empty.
     void record_arrival(const std::string& prefix);
-    // The list has changed: servers are ranked anew.
+    // Discards the ranking after a change of the endpoint list.
     void endpoints_changed() { ranked_.clear(); }
-    // Servers whose hash with the prefix is at least this cache it; zero: all do.
+    // Returns the lowest rank, a hash of prefix and server, of the servers that cache the prefix. Zero means
+    // that all servers cache it.
     [[nodiscard]] double lowest_rank(const std::string& prefix);
 
 private:
     struct RankedPrefix {
         double copies = 0;
-        double lowest_rank = 0;  // of the servers that cache it
+        double lowest_rank = 0;  // lowest rank of the servers that cache the prefix
     };
     [[nodiscard]] double rank_of_copy(const std::string& prefix, double copies) const;
 
--- a/src/policy/prompt_cache.cpp
+++ b/src/policy/prompt_cache.cpp
@@ -33,7 +33,7 @@
     const RequestArrived& arrival = request.arrival;
     if (!arrival.prefix.empty()) texts_[request.prefix_key] = {arrival.shared_tokens, now};
     texts_[request.session_key] = {arrival.prompt_tokens, now};
-    if (texts_.size() > kMostTexts) drop_oldest();
+    if (texts_.size() > kMaxTrackedTexts) drop_oldest();
 }
 
 void PromptCache::drop_oldest() {
--- a/src/policy/prompt_cache.hpp
+++ b/src/policy/prompt_cache.hpp
@@ -1,5 +1,5 @@
-// How much of a prompt one prefill server has in its prefix cache: what the server reports where it does, and
-// else an estimate from the texts that this gateway has sent to it.
+// How much of a prompt one prefill server has in its prefix cache, as reported by the server or, if it does
+// not report, estimated from the texts that this gateway has sent to it.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -10,25 +10,26 @@
 
 namespace chalksail::policy {
 
-// Texts remembered for one server, arrivals counted by prefix, and prefixes ranked: some minutes of sessions.
-inline constexpr std::size_t kMostTexts = 400;
+// The maximum number of texts tracked per server, of arrivals counted by prefix and of ranked prefixes;
+// enough for some minutes of sessions.
+inline constexpr std::size_t kMaxTrackedTexts = 400;
 
 class PromptCache {
 public:
-    // Whether the server reports its cache: then that counts, and nothing else.
+    // Returns whether the server reports its cache; if it does, estimates are not used.
     [[nodiscard]] bool reported() const { return reported_; }
     void set_reported(bool reported) { reported_ = reported; }
 
-    // Prompt tokens that the server has to prefill for the request.
+    // Returns the prompt tokens that the server has to prefill for the request.
     [[nodiscard]] double uncached_tokens(const ServerId& server, const Request& request) const;
-    // Tokens of the request's session that the server has: what is reported, or by estimate.
+    // Returns the reported or estimated number of tokens of the request's session that the server has cached.
     [[nodiscard]] double session_tokens(const ServerId& server, const Request& request) const;
-    // Leading prompt tokens that the server has reported to have for the request.
+    // Returns the number of leading prompt tokens of the request that the server reports as cached.
     [[nodiscard]] static double reported_tokens(const ServerId& server, const Request& request);
 
-    // The server prefills the request from now on.
+    // Records that the server prefills the request.
     void record_prefill(const Request& request, Time now);
-    // The server has started anew: its cache is empty, and it has not reported yet.
+    // Resets the state for a restarted server: its cache is empty, and it has not reported yet.
     void restart();
 
 private:
--- a/src/policy/request_table.cpp
+++ b/src/policy/request_table.cpp
@@ -6,31 +6,32 @@
 namespace chalksail::policy {
 namespace {
 
-// Output is predicted in buckets with these upper edges: 250, 1000, 4000, ... tokens.
+// Predicted output lengths are rounded up to bucket edges: 250, 1000, 4000, ... tokens.
 constexpr double kFirstBucketEdge = 250;
 constexpr double kBucketGrowth = 4;
 constexpr double kLastBucketEdge = 1e9;
-constexpr double kShortestInterval = 1e-3;  // seconds between tokens: keeps the prediction finite
-constexpr double kOutputWork = 25;          // work of one output token in prompt tokens
-constexpr double kSizeWeight = 0.02;        // of an arrival in the usual size: slow, so that it does not flap
-constexpr double kShortestObjective = 1e-3;  // seconds: keeps shares of an objective finite
+constexpr double kMinTokenIntervalSeconds = 1e-3;  // avoids a division by zero
+constexpr double kOutputTokenWork = 25;            // work of one output token, in prompt tokens
+constexpr double kRequestSizeSmoothing =
+    0.02;  // weight of an arrival in the typical size; small, to avoid flapping
+constexpr double kMinObjectiveSeconds = 1e-3;  // avoids a division by zero
 
-// The upper edge of the bucket that the guess falls in, capped by what the client allows.
+// Returns the upper edge of the bucket that contains the estimate, limited to the client's maximum.
 double predicted_output_tokens(const RequestArrived& arrival, const RequestClassSettings& request_class,
-                               std::optional<double> usual_stream_seconds) {
-    const double interval = std::max(kShortestInterval, seconds(request_class.inter_token_objective));
-    const double guess = arrival.output_duration_hint > Duration::zero()
-                             ? seconds(arrival.output_duration_hint) / interval
-                             : usual_stream_seconds.value_or(kFirstBucketEdge * interval) / interval;
+                               std::optional<double> typical_stream_seconds) {
+    const double interval = std::max(kMinTokenIntervalSeconds, seconds(request_class.inter_token_objective));
+    const double estimate = arrival.output_duration_hint > Duration::zero()
+                                ? seconds(arrival.output_duration_hint) / interval
+                                : typical_stream_seconds.value_or(kFirstBucketEdge * interval) / interval;
     double edge = kFirstBucketEdge;
-    while (edge < guess && edge < kLastBucketEdge) edge *= kBucketGrowth;
+    while (edge < estimate && edge < kLastBucketEdge) edge *= kBucketGrowth;
     return arrival.max_output > 0 ? std::min(edge, arrival.max_output) : edge;
 }
 
 }  // namespace
 
 double Request::share_of_objective(Duration elapsed) const {
-    return seconds(elapsed) / std::max(kShortestObjective, seconds(objective - arrived_at));
+    return seconds(elapsed) / std::max(kMinObjectiveSeconds, seconds(objective - arrived_at));
 }
 
 RequestTable::RequestTable(const Settings& settings)
@@ -54,7 +55,7 @@
 }
 
 Request& RequestTable::add(const RequestArrived& arrival, std::size_t class_index,
-                           std::optional<double> usual_stream_seconds, Time now) {
+                           std::optional<double> typical_stream_seconds, Time now) {
     const RequestClassSettings& request_class = settings_.classes[class_index];
     Request& request = requests_[arrival.id];
     request.arrival = arrival;
@@ -70,18 +71,18 @@
                                from_seconds(seconds(request_class.first_token_objective_per_1000_tokens) *
                                             arrival.prompt_tokens / 1000);
     request.objective = now + std::min(arrival.time_remaining, objective);
-    request.output_tokens = predicted_output_tokens(arrival, request_class, usual_stream_seconds);
-    log_tokens_.add(std::log(std::max(1.0, request.tokens())), kSizeWeight);
+    request.output_tokens = predicted_output_tokens(arrival, request_class, typical_stream_seconds);
+    log_tokens_.add(std::log(std::max(1.0, request.tokens())), kRequestSizeSmoothing);
     return request;
 }
 
 void RequestTable::record_work(const Request& request) {
     const RequestArrived& arrival = request.arrival;
     class_work_[request.class_index].add(std::max(0.0, arrival.prompt_tokens - arrival.shared_tokens) +
-                                         kOutputWork * request.output_tokens);
+                                         kOutputTokenWork * request.output_tokens);
 }
 
-double RequestTable::usual_tokens() const {
+double RequestTable::typical_request_tokens() const {
     return log_tokens_.observed() ? std::exp(log_tokens_.mean()) : 0;
 }
 
--- a/src/policy/request_table.hpp
+++ b/src/policy/request_table.hpp
@@ -1,5 +1,5 @@
-// The requests that the router has not finished, and what their arrivals tell of the usual request: size and
-// work. Owns each Request; the router changes a request's state as events come.
+// The requests that the router tracks, and the typical size and work of a request, as estimated from
+// arrivals. Owns each Request; the router updates a request's state as it processes events.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -18,45 +18,46 @@
     AttemptId id;
     ServerId server;
     Time sent_at{};
-    Stage stage = Stage::prefill;  // a prefill ends with a KV state and has no effect
-    double uncached_tokens = 0;    // prompt tokens to prefill, by estimate or report
-    double tokens_ahead = 0;       // such tokens of this gateway queued there when it was sent
+    Stage stage = Stage::prefill;  // a prefill produces a KV state and has no side effects
+    double uncached_tokens = 0;    // estimated or reported prompt tokens to prefill
+    double tokens_ahead = 0;       // uncached tokens of this gateway queued at the server before it
     bool stream_started = false;
     Time stream_started_at{};
-    bool cancelled = false;  // by this router
-    Duration timeout{};      // for the first answer; zero: until the client's deadline
+    bool cancelled = false;  // the router has requested the cancellation
+    Duration timeout{};      // until the first answer; zero: until the client's deadline
 };
 
 struct Request {
     RequestArrived arrival;
-    std::string prefix_key;   // of the shared text, in a server's cached texts
-    std::string session_key;  // of the whole prompt
+    std::string prefix_key;   // of the shared text, in PromptCache
+    std::string session_key;  // of the session's text, in PromptCache
     std::size_t class_index = 0;
     const RequestClassSettings* class_settings = nullptr;  // never null in a table
     Time arrived_at{};
     Time deadline{};
-    Time objective{};          // when the first token is due by the latency objective
+    Time objective{};          // time at which the first token is due
     double output_tokens = 0;  // predicted
     bool over_quota = false;
-    bool answered = false;  // the client is served or has left; here for an attempt that is still in flight
+    bool answered = false;  // the client is served or has disconnected; tracked while an attempt is in flight
     std::optional<Attempt> attempt;
-    std::optional<ServerId> state_at;  // the prefill server that holds the KV state
-    Time state_unclaimed_since{};      // since when no attempt is known to have been with a server
-    bool state_released = false;       // while an attempt was in flight: another one cannot fetch it
+    std::optional<ServerId> kv_state_server;  // the prefill server that holds the KV state
+    Time kv_state_unclaimed_since{};  // time since which no attempt has been proved to be with a server
+    bool kv_state_released = false;   // released during an attempt; later attempts cannot fetch it
     AttemptHistory history;
 
     [[nodiscard]] double tokens() const { return arrival.prompt_tokens + output_tokens; }
-    // Waits at the router for a server.
+    // Returns whether the request waits at the gateway for a server.
     [[nodiscard]] bool held() const { return !answered && !attempt; }
-    // Its time to answer still runs, with no stream and no cancellation under way.
+    // Returns whether the request still waits for its stream to start, and its attempt is not being
+    // cancelled.
     [[nodiscard]] bool awaits_stream() const {
         return !answered && (!attempt || (!attempt->stream_started && !attempt->cancelled));
     }
-    // Will need capacity at a decode server that it does not use yet.
+    // Returns whether the request will need decode capacity that it does not use yet.
     [[nodiscard]] bool awaits_decode_capacity() const {
-        return !answered && (attempt ? attempt->stage == Stage::prefill : state_at.has_value());
+        return !answered && (attempt ? attempt->stage == Stage::prefill : kv_state_server.has_value());
     }
-    // The part of the time from arrival to objective that `elapsed` is.
+    // Returns `elapsed` as a fraction of the time from arrival to objective.
     [[nodiscard]] double share_of_objective(Duration elapsed) const;
 };
 
@@ -67,31 +68,31 @@
 
     [[nodiscard]] bool contains(RequestId id) const { return requests_.contains(id); }
     [[nodiscard]] Request* find(RequestId id);
-    // The request that waits for this attempt to end; null for a late event of another one.
+    // Returns the request with this attempt in flight, or null if the event concerns an earlier attempt.
     [[nodiscard]] Request* find_in_flight(RequestId id, AttemptId attempt);
     [[nodiscard]] std::size_t size() const { return requests_.size(); }
     [[nodiscard]] const std::map<RequestId, Request>& all() const { return requests_; }
     [[nodiscard]] std::map<RequestId, Request>& all() { return requests_; }
 
-    // The class of this name; none where the settings have no such class.
+    // Returns the index of the class with this name, or nullopt if the settings do not define it.
     [[nodiscard]] std::optional<std::size_t> class_index(const std::string& name) const;
-    // Adds a request. `usual_stream_seconds`: the mean length of its class's streams, where observed.
+    // Adds a request. `typical_stream_seconds` is the mean length of its class's streams, if observed.
     Request& add(const RequestArrived& arrival, std::size_t class_index,
-                 std::optional<double> usual_stream_seconds, Time now);
+                 std::optional<double> typical_stream_seconds, Time now);
     void erase(RequestId id) { requests_.erase(id); }
 
-    // Counts the request in its class's mean work.
+    // Includes the request in the mean work of its class.
     void record_work(const Request& request);
-    // Mean work of a class's requests, in prompt tokens.
+    // Returns the mean work of a class's requests, in prompt tokens.
     [[nodiscard]] double mean_work(std::size_t class_index) const { return class_work_[class_index].mean(); }
-    // Prompt and output tokens of the usual request (geometric mean); zero before the first.
-    [[nodiscard]] double usual_tokens() const;
+    // Returns the geometric mean of prompt and output tokens per request; zero before the first arrival.
+    [[nodiscard]] double typical_request_tokens() const;
 
 private:
     const Settings& settings_;
     std::map<RequestId, Request> requests_;
     std::vector<RunningMean> class_work_;  // by request class
-    RunningMean log_tokens_;               // of arrivals: logarithm of prompt and predicted output
+    RunningMean log_tokens_;               // logarithm of prompt and predicted output tokens of arrivals
 };
 
 }  // namespace chalksail::policy
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -1,5 +1,6 @@
-// Which requests may be attempted again or rejected, from their class's idempotency settings and the history
-// of their attempts. Pure functions of these; a prefill attempt has no effect and never restricts anything.
+// Decides which requests may be retried or rejected, from their class's idempotency settings and the history
+// of their attempts. Depends on nothing else. Prefill attempts have no side effects and never restrict
+// retries.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -8,17 +9,18 @@
 
 namespace chalksail::policy {
 
-// The attempts of one request so far.
+// The previous attempts of one request.
 struct AttemptHistory {
     int sends = 0;
     std::set<ServerId> failed_at;
-    std::optional<Endpoint> ran_at;  // where the first decode attempt went that may have run
-    Time ran_sent_at{};              // and when it was sent
+    std::optional<Endpoint> first_run_endpoint;  // endpoint of the first decode attempt that may have run
+    Time first_run_sent_at{};                    // time at which that attempt was sent
 };
 
-// Whether this end of an attempt proves that it reached a server: bytes written to one may lie there unread.
+// Returns whether the outcome proves that the attempt reached its server. Written bytes alone prove nothing,
+// as the server may not have read them.
 [[nodiscard]] bool proves_arrival(AttemptOutcome outcome);
-// Whether the attempt may have come to a server at all.
+// Returns whether the attempt may have reached its server.
 [[nodiscard]] bool may_have_arrived(AttemptOutcome outcome);
 
 class RetryPolicy {
@@ -28,13 +30,13 @@
     [[nodiscard]] int attempts_left(const AttemptHistory& history) const {
         return max_attempts_ - history.sends;
     }
-    // Whether another attempt is allowed at some server.
+    // Returns whether another attempt is allowed at any server.
     [[nodiscard]] bool may_retry(const RequestClassSettings& request_class, const AttemptHistory& history,
                                  Time now) const;
-    // Whether an attempt at this endpoint is allowed: repeats stay within the deduplication scope.
+    // Returns whether an attempt at this endpoint is allowed: retries stay within the deduplication scope.
     [[nodiscard]] bool may_send_to(const Endpoint& endpoint, const RequestClassSettings& request_class,
                                    const AttemptHistory& history, Time now) const;
-    // Whether the client may be told that the request was not run.
+    // Returns whether the client may receive the response that the request was not run.
     [[nodiscard]] static bool may_reject(const RequestClassSettings& request_class,
                                          const AttemptHistory& history);
 
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -1,6 +1,6 @@
-// The coordinator of the routing policy. It takes events to the parts that they concern, asks the parts for
-// decisions in a fixed order and turns these into actions. The parts never call each other's state: what one
-// needs of another is passed to it here, or read through the other's interface. docs/design.md has the
+// The coordinator of the routing policy. It forwards events to the components, asks these for decisions in a
+// fixed order and translates the decisions into actions. A component never modifies another one's state: it
+// receives what it needs as arguments, or reads it through the other's interface. See docs/design.md for the
 // reasons.
 #include <algorithm>
 #include <chalksail/chalksail.hpp>
@@ -27,14 +27,16 @@
 namespace chalksail {
 namespace {
 
-// Part of the shortest latency objective by which a step may come after its time.
-constexpr int kLateStep = 4;
-// Own part of a decode server holds fewer usual requests: then own load tells next to nothing of it.
-constexpr double kFewRequests = 3;
-// Ticks before the end of its release time at which a KV state has to be claimed: a step and the way there.
-constexpr int kTicksToClaimState = 3;
-// Ticks between steps while a request waits, or a server to return.
-constexpr int kTicksBetweenSteps = 2;
+// A step is late if it runs more than this part (1/n) of the shortest latency objective after its timer.
+constexpr int kLateStepDivisor = 4;
+// Observations are sparse if this gateway's share of a decode server's memory holds fewer typical requests
+// than this, because its own load then says little about the server.
+constexpr double kMinRequestsPerServer = 3;
+// Ticks before the end of the release time by which a KV state must be claimed: one step and the network
+// delay.
+constexpr int kClaimMarginTicks = 3;
+// Ticks between steps while a request waits, or a server waits for readmission.
+constexpr int kStepIntervalTicks = 2;
 
 }  // namespace
 
@@ -62,9 +64,9 @@
         for (const auto& event : events) std::visit([this](const auto& typed) { on(typed); }, event);
         cancel_silent_attempts();
         limits_.update_pool(summary().decode_memory());
-        reject_hopeless_requests();
+        reject_unservable_requests();
         place_held_requests();
-        return_ejected_servers();
+        readmit_ejected_servers();
         set_timer();
         return std::move(actions_);
     }
@@ -77,12 +79,12 @@
     using Server = policy::Server;
     using Stage = policy::Stage;
 
-    // The parts of a step.
+    // The phases of a step.
     void begin_step(Time now, std::span<const Event> events);
     void cancel_silent_attempts();
-    void reject_hopeless_requests();
+    void reject_unservable_requests();
     void place_held_requests();
-    void return_ejected_servers();
+    void readmit_ejected_servers();
     void set_timer();
 
     // Events.
@@ -96,35 +98,35 @@
     void on(const CacheReportingChanged& event);
     void on(const TimerFired& event) { timer_.on_fired(event.id); }
     void on(const ReservationResult&) {}  // no reservation is requested
-    void on(const PeerMessage&) {}        // none is sent
+    void on(const PeerMessage&) {}        // no peer messages are sent
 
-    // Placement of one held request.
+    // Placement of a held request.
     void place_prefill(Request& request);
     void place_decode(Request& request);
     void send(Request& request, Server& server, Stage stage);
     [[nodiscard]] Attempt make_attempt(const Request& request, const Server& server, Stage stage) const;
 
-    // The end of a request, and of the KV state that it holds.
+    // The end of a request and of its KV state.
     void continue_after_failure(Request& request, const AttemptEnded& event);
-    void give_up(Request& request);
+    void reject_or_fail(Request& request);
     void cancel(Request& request);
-    void forget(Request& request);
-    void release_state(Request& request);
-    void drop_state(Request& request);
-    [[nodiscard]] Time state_claim_due(const Request& request) const;
+    void erase_request(Request& request);
+    void release_kv_state(Request& request);
+    void clear_kv_state(Request& request);
+    [[nodiscard]] Time kv_state_claim_deadline(const Request& request) const;
 
-    void restart(Server& server);
+    void reset_observations(Server& server);
     [[nodiscard]] const policy::FleetSummary& summary() const {
         return endpoints_.summary(now_, outliers_.version());
     }
     [[nodiscard]] policy::StepContext context() const { return {now_, has_sparse_observations()}; }
     [[nodiscard]] bool has_sparse_observations() const {
         return endpoints_.largest_decode_memory() <
-               kFewRequests * settings_.gateways * requests_.usual_tokens();
+               kMinRequestsPerServer * settings_.gateways * requests_.typical_request_tokens();
     }
 
     const Settings settings_;
-    const std::string seed_;  // this gateway's, for choices in which gateways should differ
+    const std::string seed_;  // for choices that should differ between gateways
     policy::RequestTable requests_;
     policy::EndpointTable endpoints_;
     policy::LatencyEstimates latencies_;
@@ -145,12 +147,12 @@
     bool step_late_ = false;
 };
 
-// ---- the parts of a step ----
+// ---- the phases of a step ----
 
 void Router::Impl::begin_step(Time now, std::span<const Event> events) {
     now_ = now;
     step_late_ =
-        timer_.fired_late(events, now, policy::shortest_first_token_objective(settings_) / kLateStep);
+        timer_.fired_late(events, now, policy::shortest_first_token_objective(settings_) / kLateStepDivisor);
     actions_.clear();
     if (!last_step_ && settings_.endpoint_watch_required) actions_.emplace_back(WatchEndpoints{true});
     const double elapsed = seconds(now - last_step_.value_or(now));
@@ -161,9 +163,9 @@
     admission_.refill_quotas(elapsed);
 }
 
-// A server silent since an attempt was sent, for longer than is usual, is ejected and the attempt cancelled;
-// not an attempt that could not go again. In an overload, prefills past their objective are cancelled, too
-// (docs/incidents/2026-11-full-size.md, Lfcc8ee).
+// Cancels attempts whose server has been silent for longer than their timeout, and ejects the server.
+// Attempts that could not be retried have no timeout. In an overload, prefills past their objective are
+// cancelled, too: they would delay other requests (docs/incidents/2026-11-full-size.md, Lfcc8ee).
 void Router::Impl::cancel_silent_attempts() {
     if (!settings_.cancellation_enabled) return;
     const policy::StepContext context = this->context();
@@ -190,12 +192,13 @@
     }
 }
 
-void Router::Impl::reject_hopeless_requests() {
+void Router::Impl::reject_unservable_requests() {
     const policy::StepContext context = this->context();
     const bool has_decode_server = summary().has_decode_server();
     for (auto it = requests_.all().begin(); it != requests_.all().end();) {
-        Request& request = (it++)->second;  // giving up erases it
-        if (request.held() && admission_.rejects(request, has_decode_server, context)) give_up(request);
+        Request& request = (it++)->second;  // reject_or_fail() erases the request
+        if (request.held() && admission_.rejects(request, has_decode_server, context))
+            reject_or_fail(request);
     }
 }
 
@@ -207,28 +210,28 @@
     candidates_.begin_step(now_);
     decode_capacity_.begin_step();
     for (Request* request : held) {
-        if (request->state_at) place_decode(*request);
+        if (request->kv_state_server) place_decode(*request);
         else place_prefill(*request);
     }
 }
 
-// Idle servers whose ejection has passed.
-void Router::Impl::return_ejected_servers() {
+// Begins the readmission of idle servers whose ejection time has passed.
+void Router::Impl::readmit_ejected_servers() {
     for (const ServerId& id : outliers_.unhealthy_servers()) {
         Server& server = *endpoints_.find(id);
         if (!server.in_service() || server.references > 0) continue;
-        if (outliers_.begin_return(server.health, now_)) actions_.emplace_back(HealthCheck{id});
+        if (outliers_.begin_readmission(server.health, now_)) actions_.emplace_back(HealthCheck{id});
     }
 }
 
 void Router::Impl::set_timer() {
-    const Time soon = now_ + kTicksBetweenSteps * settings_.tick;
+    const Time soon = now_ + kStepIntervalTicks * settings_.tick;
     Time next = Time::max();
     for (const auto& [id, request] : requests_.all())
         if (request.awaits_stream()) next = std::min(next, soon);
     for (const ServerId& id : outliers_.unhealthy_servers()) {
         const Server& server = *endpoints_.find(id);
-        const std::optional<Time> due = policy::OutlierDetection::return_due(server.health);
+        const std::optional<Time> due = policy::OutlierDetection::readmission_due(server.health);
         if (due && server.references == 0) next = std::min(next, std::max(*due, soon));
     }
     if (next == Time::max()) return;
@@ -239,13 +242,13 @@
 
 void Router::Impl::on(const RequestArrived& event) {
     if (requests_.contains(event.id)) return;
-    // A gateway whose event loop is behind can only answer late: what is new is rejected at once.
+    // A gateway whose event loop lags behind would answer late, so it rejects new requests immediately.
     if (step_late_) {
         actions_.emplace_back(Reject{event.id, settings_.max_retry_after / 2});
         return;
     }
     const std::optional<std::size_t> class_index = requests_.class_index(event.class_name);
-    if (!class_index) {  // it was never sent, so a rejection is safe
+    if (!class_index) {  // the request was never sent, so a rejection is safe
         actions_.emplace_back(Reject{event.id, {}});
         return;
     }
@@ -262,10 +265,11 @@
     attempt.stream_started = true;
     attempt.stream_started_at = now_;
     latencies_.record_first_token(event.elapsed);
-    const Server* prefill = request->state_at ? endpoints_.find(*request->state_at) : nullptr;
+    const Server* prefill = request->kv_state_server ? endpoints_.find(*request->kv_state_server) : nullptr;
     if (Server* server = endpoints_.find(attempt.server)) {
         policy::OutlierDetection::record_answer(server->health, now_);
-        // Inside a cell a transfer takes no time to speak of: what is late has queued at the decode server.
+        // Within a cell the transfer time is negligible, so a late first token has queued at the decode
+        // server.
         if (prefill != nullptr && prefill->endpoint.cell == server->endpoint.cell)
             limits_.record_first_token(server->limit, event.elapsed,
                                        request->class_settings->first_token_objective, attempt.sent_at,
@@ -273,7 +277,7 @@
         else if (prefill != nullptr)
             decode_selection_.record_transfer(prefill->endpoint.cell, event.elapsed, now_);
     }
-    drop_state(*request);
+    clear_kv_state(*request);
 }
 
 void Router::Impl::on(const AttemptEnded& event) {
@@ -283,34 +287,34 @@
     Request* request = requests_.find_in_flight(event.id, event.attempt);
     if (request == nullptr) return;
     const Attempt attempt = *std::exchange(request->attempt, std::nullopt);
-    if (policy::proves_arrival(event.outcome)) request->state_unclaimed_since = now_;
-    if (std::exchange(request->state_released, false)) drop_state(*request);
+    if (policy::proves_arrival(event.outcome)) request->kv_state_unclaimed_since = now_;
+    if (std::exchange(request->kv_state_released, false)) clear_kv_state(*request);
     if (server != nullptr) recorder_.record_end(*server, *request, attempt, event, context);
     const bool may_have_run = attempt.stage == Stage::decode && policy::may_have_arrived(event.outcome) &&
                               event.outcome != AttemptOutcome::at_capacity;
-    if (may_have_run && !request->history.ran_at && server != nullptr) {
-        request->history.ran_at = server->endpoint;
-        request->history.ran_sent_at = attempt.sent_at;
+    if (may_have_run && !request->history.first_run_endpoint && server != nullptr) {
+        request->history.first_run_endpoint = server->endpoint;
+        request->history.first_run_sent_at = attempt.sent_at;
     }
     if (event.request_finished || request->answered) {
-        // A prefill that ends after its request leaves a KV state behind.
-        if (event.outcome == AttemptOutcome::prefilled || request->state_at)
+        // A prefill that ends after its request leaves a KV state that must be released.
+        if (event.outcome == AttemptOutcome::prefilled || request->kv_state_server)
             actions_.emplace_back(ReleaseKvState{event.id});
-        forget(*request);
+        erase_request(*request);
     } else if (event.outcome == AttemptOutcome::prefilled && server != nullptr) {
-        request->state_at = event.server;
+        request->kv_state_server = event.server;
         server->references += 1;
     } else {
         continue_after_failure(*request, event);
     }
 }
 
-// The attempt in flight may still stream; for another one the prompt is prefilled anew.
+// An attempt in flight may still succeed; any later attempt needs a new prefill.
 void Router::Impl::on(const KvStateReleased& event) {
     Request* request = requests_.find(event.id);
-    if (request == nullptr || !request->state_at) return;
-    if (request->attempt) request->state_released = true;
-    else drop_state(*request);
+    if (request == nullptr || !request->kv_state_server) return;
+    if (request->attempt) request->kv_state_released = true;
+    else clear_kv_state(*request);
 }
 
 void Router::Impl::on(const ClientDisconnected& event) {
@@ -320,8 +324,8 @@
         settings_.cancellation_enabled)
         cancel(*request);
     request->answered = true;
-    release_state(*request);
-    if (!request->attempt) forget(*request);
+    release_kv_state(*request);
+    if (!request->attempt) erase_request(*request);
 }
 
 void Router::Impl::on(const EndpointUpdate& event) {
@@ -329,7 +333,7 @@
         if (settings_.endpoint_watch_required) actions_.emplace_back(WatchEndpoints{true});
         return;
     }
-    for (Server* server : endpoints_.merge(event)) restart(*server);
+    for (Server* server : endpoints_.merge(event)) reset_observations(*server);
     for (const ServerId& id : endpoints_.remove_unlisted()) outliers_.forget(id);
     prefill_selection_.endpoints_changed();
 }
@@ -353,7 +357,7 @@
     if (decode_capacity_.available(request, candidates_, context) <= 0) return;
     Server* prefill = prefill_selection_.select(request, candidates_, decode_capacity_, context);
     const bool any_prefill = prefill != nullptr || candidates_.any_usable(request, Stage::prefill);
-    if (prefill == nullptr && any_prefill) return;  // their queues are long
+    if (prefill == nullptr && any_prefill) return;  // all queues are too long
     if (prefill != nullptr &&
         prefill_selection_.should_wait_for_cached_text(*prefill, request, candidates_, now_))
         return;
@@ -367,17 +371,19 @@
         send(request, *mixed, Stage::decode);
     else if (prefill != nullptr) send(request, *prefill, Stage::prefill);
     else if (settings_.prefill_on_decode_enabled && decode != nullptr)
-        send(request, *decode, Stage::decode);  // no prefill server is usable: it prefills by itself
+        send(request, *decode, Stage::decode);  // no prefill server is usable, so the decode server prefills
 }
 
-// A KV state may wait for capacity, but not past its release time; then the least harmed server gets it.
+// A KV state may wait for decode capacity until shortly before its release time. Then it is sent to the
+// server with the best score, even if that has no capacity.
 void Router::Impl::place_decode(Request& request) {
     const policy::StepContext context = this->context();
     Server* decode = decode_selection_.select(request, true, candidates_, context);
-    const bool due = now_ >= state_claim_due(request);
+    const bool due = now_ >= kv_state_claim_deadline(request);
     if (decode == nullptr && due) decode = decode_selection_.select(request, false, candidates_, context);
     if (decode != nullptr) send(request, *decode, Stage::decode);
-    else if (due) release_state(request);  // no decode server at all: the request waits for a new prefill
+    else if (due)
+        release_kv_state(request);  // no decode server is usable; the request waits for a new prefill
 }
 
 void Router::Impl::send(Request& request, Server& server, Stage stage) {
@@ -402,33 +408,35 @@
     attempt.stage = stage;
     attempt.uncached_tokens = server.cache.uncached_tokens(server.endpoint.id, request);
     attempt.tokens_ahead = server.queued_prefill_tokens;
-    // Timed out only where another attempt can follow: of a prefill, one of each stage.
-    const bool attempts_spare = retry_policy_.attempts_left(request.history) > (prefill ? 2 : 1);
+    // Sets a timeout only if the request can be retried. A prefill needs two more attempts, one for each
+    // stage.
+    const bool has_spare_attempts = retry_policy_.attempts_left(request.history) > (prefill ? 2 : 1);
     const bool may_run_again = prefill || request.class_settings->idempotency != Idempotency::non_idempotent;
-    if (attempts_spare && may_run_again)
+    if (has_spare_attempts && may_run_again)
         attempt.timeout = latencies_.attempt_timeout(attempt, request.class_settings->first_token_objective);
     return attempt;
 }
 
-// ---- the end of a request, and of the KV state that it holds ----
+// ---- the end of a request and of its KV state ----
 
 void Router::Impl::continue_after_failure(Request& request, const AttemptEnded& event) {
     request.history.failed_at.insert(event.server);
-    if (event.outcome == AttemptOutcome::at_capacity && event.kv_state_missing) drop_state(request);
-    // No connection has come up in the state's time.
-    if (!policy::may_have_arrived(event.outcome) && now_ >= state_claim_due(request)) release_state(request);
+    if (event.outcome == AttemptOutcome::at_capacity && event.kv_state_missing) clear_kv_state(request);
+    // No connection could be established in time to claim the KV state.
+    if (!policy::may_have_arrived(event.outcome) && now_ >= kv_state_claim_deadline(request))
+        release_kv_state(request);
     if (event.outcome == AttemptOutcome::not_sent || now_ >= request.deadline ||
         !retry_policy_.may_retry(*request.class_settings, request.history, now_))
-        give_up(request);
+        reject_or_fail(request);
 }
 
-void Router::Impl::give_up(Request& request) {
+void Router::Impl::reject_or_fail(Request& request) {
     const RequestId id = request.arrival.id;
     if (policy::RetryPolicy::may_reject(*request.class_settings, request.history) && now_ < request.deadline)
         actions_.emplace_back(Reject{id, settings_.max_retry_after / 2});
     else actions_.emplace_back(Fail{id});
-    release_state(request);
-    forget(request);
+    release_kv_state(request);
+    erase_request(request);
 }
 
 void Router::Impl::cancel(Request& request) {
@@ -436,29 +444,29 @@
     actions_.emplace_back(CancelAttempt{request.arrival.id, request.attempt->id});
 }
 
-void Router::Impl::forget(Request& request) {
-    drop_state(request);
+void Router::Impl::erase_request(Request& request) {
+    clear_kv_state(request);
     requests_.erase(request.arrival.id);
 }
 
-void Router::Impl::release_state(Request& request) {
-    if (!request.state_at) return;
-    drop_state(request);
+void Router::Impl::release_kv_state(Request& request) {
+    if (!request.kv_state_server) return;
+    clear_kv_state(request);
     actions_.emplace_back(ReleaseKvState{request.arrival.id});
 }
 
-void Router::Impl::drop_state(Request& request) {
-    if (!request.state_at) return;
-    if (Server* server = endpoints_.find(*request.state_at)) server->references -= 1;
-    request.state_at.reset();
+void Router::Impl::clear_kv_state(Request& request) {
+    if (!request.kv_state_server) return;
+    if (Server* server = endpoints_.find(*request.kv_state_server)) server->references -= 1;
+    request.kv_state_server.reset();
 }
 
-Time Router::Impl::state_claim_due(const Request& request) const {
-    return request.state_unclaimed_since + settings_.release_within - kTicksToClaimState * settings_.tick;
+Time Router::Impl::kv_state_claim_deadline(const Request& request) const {
+    return request.kv_state_unclaimed_since + settings_.release_within - kClaimMarginTicks * settings_.tick;
 }
 
-// What is known of a server that has just started, or is new.
-void Router::Impl::restart(Server& server) {
+// Resets the observations of a server that is new or has restarted.
+void Router::Impl::reset_observations(Server& server) {
     const ServerId& id = server.endpoint.id;
     limits_.restart(server.limit, server.memory_tokens);
     outliers_.restart(id, server.health);
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -1,4 +1,4 @@
-// Checks of the settings' own consistency, for whoever reads them and for the module that is built with them.
+// Validates that the settings are consistent, for the code that reads them and for the router.
 #include <chalksail/chalksail.hpp>
 #include <stdexcept>
 
@@ -8,14 +8,14 @@
     const auto require = [](bool holds, const std::string& problem) {
         if (!holds) throw std::invalid_argument(problem);
     };
-    require(!settings.classes.empty(), "no request classes");
-    require(!settings.kinds.empty(), "no kinds of server");
-    require(settings.gateways >= 1, "fewer than one gateway");
+    require(!settings.classes.empty(), "settings define no request class");
+    require(!settings.kinds.empty(), "settings define no server kind");
+    require(settings.gateways >= 1, "gateways must be at least 1");
     require(settings.tick > Duration::zero(), "tick must be above 0");
-    require(settings.max_attempts >= 1, "fewer than one attempt allowed");
+    require(settings.max_attempts >= 1, "max_attempts must be at least 1");
     for (const auto& c : settings.classes)
         require(c.first_token_objective > Duration::zero() && c.deadline >= c.first_token_objective,
-                "class " + c.name + ": aim must be above 0 and within the deadline");
+                "class " + c.name + ": first-token objective must be above 0 and within the deadline");
 }
 
 }  // namespace chalksail
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -8,16 +8,17 @@
 namespace chalksail::policy {
 namespace {
 
-constexpr double kBudgetCaution = 0.6;   // part of the budget used; bursts of other gateways take the rest
-constexpr double kAveragingWindows = 4;  // windows over which the work sent to warm servers is averaged
-constexpr double kSmallestWork = 1e-9;   // keeps a division finite; far below one token
+constexpr double kBudgetFraction =
+    0.6;  // of the budget that is used; the rest is for bursts of other gateways
+constexpr double kAveragingWindows = 4;  // averaging time of the work sent to warm servers, in windows
+constexpr double kMinWork = 1e-9;        // avoids a division by zero; far below one token
 
 }  // namespace
 
-void WarmUpState::restart(Time now, double draw) {
+void WarmUpState::restart(Time now, double first_request_delay) {
     sent_.clear();
     first_seen_ = now;
-    draw_ = draw;
+    first_request_delay_ = first_request_delay;
 }
 
 SlowStart::SlowStart(const Settings& settings)
@@ -31,7 +32,9 @@
 bool SlowStart::admits(const WarmUpState& server, Role role, std::size_t class_index, double request_work,
                        std::int64_t warm_servers, Time now) {
     const Budget& allowed = budget(role, class_index, request_work, warm_servers, now);
-    if (now < server.first_seen_ + from_seconds(allowed.longest_wait * server.draw_)) return false;
+    if (now <
+        server.first_seen_ + from_seconds(allowed.max_first_request_delay * server.first_request_delay_))
+        return false;
     double sent = 0;
     for (const auto& [at, work] : server.sent_)
         if (at + allowed.window > now) sent += work;
@@ -49,23 +52,23 @@
     at = now;
 }
 
-void SlowStart::take_back(Role role, double work) {
+void SlowStart::record_not_run(Role role, double work) {
     double& sum = warm_work_[role].sum;
     sum = std::max(0.0, sum - work);
 }
 
 const SlowStart::Budget& SlowStart::budget(Role role, std::size_t class_index, double request_work,
                                            std::int64_t warm_servers, Time now) {
-    const auto [it, fresh] = budgets_.try_emplace(std::pair(role, class_index));
+    const auto [it, inserted] = budgets_.try_emplace(std::pair(role, class_index));
     Budget& result = it->second;
-    if (!fresh) return result;
-    result.work = kBudgetCaution * overload_factor_ * initial_capacity_ * seconds(window_) *
+    if (!inserted) return result;
+    result.work = kBudgetFraction * overload_factor_ * initial_capacity_ * seconds(window_) *
                   warm_rate(role, warm_servers, now);
-    // Under one request a window it gets one in a longer window, and the first after a drawn wait.
-    const double stretch =
-        std::clamp(request_work / std::max(result.work, kSmallestWork), 1.0, 1.0 * gateways_);
+    // A budget below one request allows one request in a longer window, and delays the first by a
+    // server-specific time.
+    const double stretch = std::clamp(request_work / std::max(result.work, kMinWork), 1.0, 1.0 * gateways_);
     result.window = from_seconds(seconds(window_) * stretch) + tick_;
-    result.longest_wait = seconds(window_) * (stretch - 1);
+    result.max_first_request_delay = seconds(window_) * (stretch - 1);
     return result;
 }
 
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -1,6 +1,6 @@
-// Slow start: how much work a server that has just started gets while it warms up. A warming server may bear
-// a known part of a warm one's work before it is overloaded; what a warm one bears is taken from the work
-// that this gateway sends to each of them. Gateways do not coordinate: each takes its own part of the budget.
+// Slow start: limits the work sent to a server that has just started, while it warms up. The budget of a
+// warming server is a configured fraction of a warm server's work, which is estimated from the work that this
+// gateway sends to each warm server. Gateways do not coordinate: each uses its own share of the budget.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -10,17 +10,18 @@
 
 namespace chalksail::policy {
 
-// Whether an endpoint that started at this time (zero: long ago) is still warming up.
+// Returns whether an endpoint that started at this time (zero: long ago) is still warming up.
 [[nodiscard]] inline bool is_warming_up(Time started_at, Time now, Duration slow_start_duration) {
     return started_at != Time{} && now - started_at < slow_start_duration;
 }
 
-// What slow start knows of one server.
+// The slow start state of one server.
 class WarmUpState {
 public:
-    // The server was first seen at `now`. `draw` is between 0 and 1: how late in the first window this
-    // gateway sends its first request, so that gateways come to a warming server one by one.
-    void restart(Time now, double draw);
+    // Resets the state for a server first seen at `now`. `first_request_delay`, between 0 and 1, is the part
+    // of the maximum delay after which this gateway sends its first request. It differs between gateways, so
+    // that their first requests are spread over time.
+    void restart(Time now, double first_request_delay);
 
 private:
     friend class SlowStart;
@@ -30,7 +31,7 @@
     };
     std::vector<SentWork> sent_;
     Time first_seen_{};
-    double draw_ = 0;
+    double first_request_delay_ = 0;
 };
 
 class SlowStart {
@@ -40,32 +41,32 @@
     [[nodiscard]] bool is_warming_up(Time started_at, Time now) const {
         return policy::is_warming_up(started_at, now, duration_);
     }
-    // Forgets the budgets: once a step, as time and the mean work of requests have changed.
+    // Clears the budgets at the start of a step, as the time and the mean work of requests have changed.
     void begin_step() { budgets_.clear(); }
-    // Whether a warming server of this role has budget left for a request of this class, whose mean work is
-    // `request_work`. `warm_servers` is the number of warm servers of that role.
+    // Returns whether a warming server of this role has budget left for a request of this class, whose mean
+    // work is `request_work`. `warm_servers` is the number of warm servers of that role.
     [[nodiscard]] bool admits(const WarmUpState& server, Role role, std::size_t class_index,
                               double request_work, std::int64_t warm_servers, Time now);
     static void record_sent_to_warming(WarmUpState& server, double work, Time now);
     void record_sent_to_warm(Role role, double work, Time now);
-    // Work sent to a warm server has not run: a full fleet that rejects again and again would otherwise seem
-    // to bear more than it does.
-    void take_back(Role role, double work);
+    // Subtracts work sent to a warm server that did not run it. Otherwise repeated rejections by a full fleet
+    // would raise the estimate of the work that its servers can handle.
+    void record_not_run(Role role, double work);
 
 private:
     struct Budget {
-        double work = 0;          // that a warming server may get in the window
-        Duration window{};        // longer than the settings' where not one request fits in that
-        double longest_wait = 0;  // in seconds, until the first request; each server's is drawn
+        double work = 0;    // maximum work for a warming server in the window
+        Duration window{};  // longer than in the settings if a single request exceeds the budget
+        double max_first_request_delay = 0;  // maximum seconds until a server's first request
     };
     struct SentWork {
-        double sum = 0;  // fading over a few windows
+        double sum = 0;  // decays exponentially over a few windows
         Time at{};
     };
     const Budget& budget(Role role, std::size_t class_index, double request_work, std::int64_t warm_servers,
                          Time now);
     [[nodiscard]] double averaging_seconds() const;
-    // Work a second at one warm server of the role.
+    // Returns the work per second sent to one warm server of the role.
     [[nodiscard]] double warm_rate(Role role, std::int64_t warm_servers, Time now) const;
 
     Duration duration_;
@@ -75,7 +76,7 @@
     double overload_factor_;
     int gateways_;
     std::map<Role, SentWork> warm_work_;
-    std::map<std::pair<Role, std::size_t>, Budget> budgets_;  // of this step: by role and request class
+    std::map<std::pair<Role, std::size_t>, Budget> budgets_;  // of this step, by role and request class
 };
 
 }  // namespace chalksail::policy
--- a/src/policy/statistics.hpp
+++ b/src/policy/statistics.hpp
@@ -1,4 +1,4 @@
-// Small numeric helpers that the parts of the routing policy share. They keep no state of their own.
+// Numeric helpers shared by the components of the routing policy.
 #pragma once
 
 #include <algorithm>
@@ -9,13 +9,14 @@
 
 inline constexpr double kSmoothing = 0.2;  // weight of a new observation in a running mean
 
-// Seconds as a duration; negative values count as zero, and a billion seconds is the most.
+// Converts seconds to a duration, limited to the range from zero to a billion seconds.
 inline Duration from_seconds(double value) {
     return Duration(static_cast<std::int64_t>(std::clamp(value, 0.0, 1e9) * 1e9));
 }
 
-// FNV-1a with a finaliser, as a number between 0 and 1, ends excluded. Every gateway gets the same number for
-// the same text, so that rendezvous hashing agrees without coordination.
+// Returns the FNV-1a hash of the texts, with a finalizer, as a number in the open interval (0, 1). All
+// gateways compute the same number for the same text, so that their rendezvous hashing agrees without
+// coordination.
 inline double hash_to_unit_interval(const std::string& first, const std::string& second) {
     std::uint64_t hash = 1469598103934665603ULL;
     for (const std::string* text : {&first, &second})
@@ -24,7 +25,8 @@
     return (static_cast<double>((hash ^ (hash >> 33U)) >> 11U) + 0.5) * 0x1p-53;
 }
 
-// The shortest latency objective of a first token among the request classes: the policy's unit of time.
+// Returns the shortest first-token latency objective of the request classes, which the policy uses as its
+// unit of time.
 inline Duration shortest_first_token_objective(const Settings& settings) {
     Duration shortest = settings.classes.front().first_token_objective;
     for (const auto& request_class : settings.classes)
@@ -32,7 +34,7 @@
     return shortest;
 }
 
-// An exponentially weighted mean that starts at its first observation.
+// An exponentially weighted moving average, initialized with its first observation.
 class RunningMean {
 public:
     void add(double value, double weight = kSmoothing) {
@@ -40,7 +42,7 @@
         observed_ = true;
     }
     [[nodiscard]] bool observed() const { return observed_; }
-    // Zero before the first observation.
+    // Returns zero before the first observation.
     [[nodiscard]] double mean() const { return mean_; }
     [[nodiscard]] double value_or(double value) const { return observed_ ? mean_ : value; }
 
@@ -49,15 +51,15 @@
     bool observed_ = false;
 };
 
-// What the router passes to the parts: the time of the step, and whether this gateway has sparse
-// observations, that is, so small a part of the decode servers' memory that its own requests tell little
-// about any one of them.
+// The step's context for the components: its time, and whether this gateway has sparse observations. That is
+// the case if its share of the decode servers' memory is so small that its own requests say little about any
+// one server.
 struct StepContext {
     Time now{};
     bool sparse_observations = false;
 };
 
-// The two stages of a request: prefill leaves a KV state, decode streams the answer.
+// The two stages of a request: prefill produces a KV state, decode streams the answer.
 enum class Stage { prefill, decode };
 
 }  // namespace chalksail::policy
--- a/src/policy/step_timer.hpp
+++ b/src/policy/step_timer.hpp
@@ -1,4 +1,4 @@
-// The router's one timer: set for the earliest time at which time alone can change a decision.
+// The router's only timer. It is set to the earliest time at which a decision may change without a new event.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -9,10 +9,11 @@
 
 class StepTimer {
 public:
-    // Whether the timer is among the events and comes more than this after its time.
+    // Returns whether the timer is among the events and fired more than `tolerance` after its time.
     [[nodiscard]] bool fired_late(std::span<const Event> events, Time now, Duration tolerance) const;
     void on_fired(TimerId id);
-    // Asks for a step at `next`, no earlier than a tick from now. None: one is set that comes before it.
+    // Returns the action that sets the timer to `next`, but at least one tick from now. Returns nullopt if a
+    // timer is already set for that time or an earlier one.
     [[nodiscard]] std::optional<SetTimer> set(Time next, Time now, Duration tick);
 
 private:
--- a/src/policy/tenant_quotas.hpp
+++ b/src/policy/tenant_quotas.hpp
@@ -1,4 +1,5 @@
-// Tenants' quotas as token buckets: this gateway's part of each quota, with one second's worth of burst.
+// Enforces the tenants' quotas with token buckets: each gateway grants its share of a quota, with a burst of
+// one second.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -13,8 +14,8 @@
     TenantQuotas(const std::vector<TenantSettings>& tenants, int gateways);
 
     void refill(double elapsed_seconds);
-    // Takes one request from the tenant's bucket. False: the bucket is empty, or the tenant has no quota
-    // while others have one.
+    // Takes one request from the tenant's bucket. Returns false if the bucket is empty, or if the tenant has
+    // no quota while other tenants have one.
     [[nodiscard]] bool try_take(const std::string& tenant);
 
 private:
--- a/tests/policy/concurrency_limit_test.cpp
+++ b/tests/policy/concurrency_limit_test.cpp
@@ -27,13 +27,14 @@
     ServerLimit server;
 };
 
-TEST(ConcurrencyLimit, StartsAtOneAndAHalfTimesOwnPartOfTheMemory) {
+TEST(ConcurrencyLimit, StartsAtOneAndAHalfTimesTheGatewaysShareOfMemory) {
     EXPECT_DOUBLE_EQ(Limited(10, false).server.limit(), 150);
     EXPECT_DOUBLE_EQ(Limited(1, false).server.limit(), 1000);
-    EXPECT_DOUBLE_EQ(Limited(10, true).server.limit(), 900);  // with reports: what counts as nearly full
+    EXPECT_DOUBLE_EQ(Limited(10, true).server.limit(),
+                     900);  // with reports: the threshold of nearly full memory
 }
 
-TEST(ConcurrencyLimit, AtCapacityLowersItOnceForEachOverload) {
+TEST(ConcurrencyLimit, AtCapacityLowersTheLimitOncePerOverload) {
     Limited l(10, false);
     l.limits.record_sent(l.server, 100);
     l.limits.record_at_capacity(l.server, kNow - 1s, kDense);
@@ -45,7 +46,7 @@
     EXPECT_DOUBLE_EQ(l.server.limit(), 64);
 }
 
-TEST(ConcurrencyLimit, RisesWithSuccessOnlyWhileItBinds) {
+TEST(ConcurrencyLimit, SuccessRaisesTheLimitOnlyNearIt) {
     Limited l(10, false);
     l.limits.record_success(l.server, 100, kDense);
     EXPECT_DOUBLE_EQ(l.server.limit(), 150);
@@ -54,11 +55,11 @@
     EXPECT_DOUBLE_EQ(l.server.limit(), 155);
 }
 
-TEST(ConcurrencyLimit, RecoversToItsStartWithTime) {
+TEST(ConcurrencyLimit, RecoversToTheInitialLimitOverTime) {
     Limited l(10, false);
     l.limits.record_sent(l.server, 10);
     l.limits.record_at_capacity(l.server, kNow, kDense);
-    EXPECT_DOUBLE_EQ(l.server.limit(), 45);  // the floor
+    EXPECT_DOUBLE_EQ(l.server.limit(), 45);  // the minimum
     EXPECT_TRUE(l.limits.begin_recovery());
     l.limits.recover(l.server, 2);
     EXPECT_DOUBLE_EQ(l.server.limit(), 60);
@@ -68,17 +69,17 @@
     EXPECT_FALSE(l.limits.begin_recovery());
 }
 
-TEST(ConcurrencyLimit, ReportsRaiseTheLoadUntilTheyAreOld) {
+TEST(ConcurrencyLimit, ReportsRaiseTheLoadUntilTheyExpire) {
     Limited l(10, true);
     l.limits.record_sent(l.server, 100);
     l.limits.record_report(l.server, {0, 0.5}, kDense);
     l.limits.record_sent(l.server, 50);
     EXPECT_DOUBLE_EQ(l.limits.load(l.server, kNow), 550);
-    // Older than three of the shortest objectives: own tokens, or the average report.
+    // After three shortest objectives the report expires: own tokens count, or the average report.
     EXPECT_DOUBLE_EQ(l.limits.load(l.server, kNow + 3001ms), 150);
 }
 
-TEST(ConcurrencyLimit, LateFirstTokenLowersItOnlyWithoutReports) {
+TEST(ConcurrencyLimit, LateFirstTokenLowersTheLimitOnlyWithoutReports) {
     Limited l(10, false);
     l.limits.record_sent(l.server, 150);
     l.limits.record_first_token(l.server, 300ms, 1s, kNow, kDense);
@@ -90,7 +91,7 @@
     EXPECT_DOUBLE_EQ(reporting.server.limit(), 900);
 }
 
-TEST(ConcurrencyLimit, WithSparseObservationsOneLimitStandsForAll) {
+TEST(ConcurrencyLimit, WithSparseObservationsOneLimitAppliesToAllServers) {
     Limited l(100, false);
     l.limits.update_pool(10'000);
     EXPECT_DOUBLE_EQ(l.limits.pool_capacity(), 150);
@@ -99,7 +100,7 @@
     l.limits.record_at_capacity(l.server, kNow, {kNow, true});
     EXPECT_DOUBLE_EQ(l.limits.pool_capacity(), -20);
     EXPECT_DOUBLE_EQ(l.server.limit(), 15);
-    // What ends counts from the end of the step.
+    // Ended tokens are subtracted at the end of the step.
     l.limits.record_ended(l.server, 100);
     EXPECT_DOUBLE_EQ(l.limits.pool_capacity(), -20);
     l.limits.update_pool(10'000);
--- a/tests/policy/counted_fleet_test.cpp
+++ b/tests/policy/counted_fleet_test.cpp
@@ -1,4 +1,5 @@
-// What the router counts or finds once for the whole fleet holds after each change of it, and within a step.
+// Totals and candidates that the router computes once for the whole fleet stay correct after each change of
+// the fleet, and within a step.
 #include <algorithm>
 #include <set>
 
@@ -13,7 +14,7 @@
     out.started_at = g.now - 1s;
     return out;
 }
-// Serves requests at warm servers, so that work is known to be within capacity.
+// Serves requests at warm servers, so that slow start has an estimate of their capacity.
 void serve_many(Gateway& g, std::uint64_t first, int count) {
     for (std::uint64_t id = first; id < first + static_cast<std::uint64_t>(count); ++id) {
         g.pass(20ms);
@@ -26,7 +27,7 @@
     }
 }
 
-// What the first request of a step takes of a warming server's budget is gone for the second.
+// The budget of a warming server that the first request of a step uses is not available to the second.
 TEST(CountedFleet, TwoRequestsOfOneStepDoNotShareAWarmingServersBudget) {
     Gateway g;
     g.list({warming_server(g, "r", "reader"), server("w", "writer")});
@@ -34,9 +35,9 @@
     EXPECT_EQ(g.sent_to(), "r");
 }
 
-// A warming server's budget follows the warm ones: with none left that bears anything, it had its one
-// request.
-TEST(CountedFleet, SlowStartBudgetEndsWithTheWarmServersThatItComesFrom) {
+// The budget of a warming server depends on the warm servers. Once no warm server is left, the warming server
+// gets no further request.
+TEST(CountedFleet, SlowStartBudgetEndsWhenNoWarmServerIsLeft) {
     Gateway g;
     auto warm = server("warm", "reader");
     g.list({warm, server("w", "writer")});
@@ -56,7 +57,7 @@
     for (int i = 0; i < 20; ++i) EXPECT_EQ(arrive_alone(++id), "");
 }
 
-// Once no decode server is in service by the list, what is past its objective is answered.
+// Once the list has no decode server in service, a request past its objective is rejected.
 TEST(CountedFleet, DecodeServersAreCountedAgainAfterAnUpdate) {
     Gateway g;
     auto writer = server("w", "writer");
@@ -73,7 +74,7 @@
     EXPECT_EQ(g.all<Reject>().size(), 1U);
 }
 
-// The prefill servers that keep a prefix are those of the list in force.
+// The prefill servers that cache a prefix are chosen from the current endpoint list.
 TEST(CountedFleet, PrefixIsPrefilledAtTheServersOfTheNewList) {
     auto settings = plain_settings();
     settings.gateways = 100;
@@ -88,19 +89,21 @@
     auto listed = readers;
     listed.push_back(server("w", "writer"));
     g.list(listed);
-    serve_many(g, 1, 100);  // of other text: one arrival of this prefix is a small share
-    const auto read_at = [&](std::uint64_t id) {
+    serve_many(g, 1, 100);  // other prefixes, so that one arrival of this prefix is a small share
+    const auto prefilled_at = [&](std::uint64_t id) {
         auto request = Gateway::request(id);
         request.prefix = prefix;
         g.pass(20ms);
         g.step({request});
         return g.sent_to();
     };
-    // Two copies each time: of 20 prefill servers for one arrival, of the last 10 for two.
-    EXPECT_TRUE((std::set<std::string>{readers[0].id.value, readers[1].id.value}).contains(read_at(201)));
+    // Two copies each time: one arrival with 20 prefill servers, then two arrivals with the remaining 10.
+    EXPECT_TRUE(
+        (std::set<std::string>{readers[0].id.value, readers[1].id.value}).contains(prefilled_at(201)));
     for (int i = 0; i < 10; ++i) listed[static_cast<std::size_t>(i)].state = EndpointState::removed;
     g.list({listed.begin(), listed.begin() + 10}, EndpointUpdateKind::delta);
-    EXPECT_TRUE((std::set<std::string>{readers[10].id.value, readers[11].id.value}).contains(read_at(202)));
+    EXPECT_TRUE(
+        (std::set<std::string>{readers[10].id.value, readers[11].id.value}).contains(prefilled_at(202)));
 }
 
 }  // namespace
--- a/tests/policy/fixture.hpp
+++ b/tests/policy/fixture.hpp
@@ -1,4 +1,4 @@
-// Settings and a small hand-driven gateway for the tests.
+// Settings and a manually driven gateway for the tests.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/tests/policy/fleet_summary_test.cpp
+++ b/tests/policy/fleet_summary_test.cpp
@@ -21,7 +21,7 @@
     return out;
 }
 
-// The table and the outlier detection that its sums depend on.
+// The endpoint table, and the outlier detection that its totals depend on.
 struct Fleet {
     Settings fleet_settings = settings();
     EndpointTable endpoints{fleet_settings};
@@ -41,7 +41,7 @@
     const FleetSummary& summary(Time now = kNow) { return endpoints.summary(now, outliers.version()); }
 };
 
-TEST(FleetSummary, WarmHealthyAndMemoryAreOfServersInService) {
+TEST(FleetSummary, CountsOnlyServersInService) {
     Fleet fleet;
     fleet.list("r", "prefill");
     fleet.list("w", "decode");
@@ -57,21 +57,22 @@
     EXPECT_DOUBLE_EQ(fleet.summary().decode_memory(), 100 + 40);
 }
 
-TEST(FleetSummary, IsCountedAgainBehindAChangeAndAsServersWarmUp) {
+TEST(FleetSummary, IsRecomputedAfterAChangeAndWhenServersWarmUp) {
     Fleet fleet;
     fleet.list("a", "decode");
     fleet.list("b", "decode", kNow - 4s);
     const std::uint64_t version = fleet.outliers.version();
     EXPECT_DOUBLE_EQ(fleet.summary().decode_memory(), 140);
     fleet.eject("a");
-    EXPECT_DOUBLE_EQ(fleet.endpoints.summary(kNow, version).decode_memory(), 140);  // no change is known
+    EXPECT_DOUBLE_EQ(fleet.endpoints.summary(kNow, version).decode_memory(),
+                     140);  // the version is unchanged
     EXPECT_DOUBLE_EQ(fleet.summary().decode_memory(), 40);
     EXPECT_EQ(fleet.summary().warm(Role::decode), 1);
     EXPECT_DOUBLE_EQ(fleet.summary(kNow + 6s).decode_memory(), 100);
     EXPECT_EQ(fleet.summary(kNow + 6s).warm(Role::decode), 2);
 }
 
-// One of a mixed role does both kinds of work.
+// A mixed server does both kinds of work.
 TEST(FleetSummary, MixedServersAreHealthyForEachRole) {
     Fleet fleet;
     fleet.list("m", "mixed");
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -1,4 +1,5 @@
-// A gateway among many: its own sums tell next to nothing, so it goes by the list and by what it sees in all.
+// A gateway among many, with sparse observations: it decides by the endpoint list and by totals over all
+// servers.
 #include <algorithm>
 #include <cmath>
 #include <map>
@@ -27,7 +28,7 @@
     a.insert(a.end(), b.begin(), b.end());
     return a;
 }
-// Serves one request at once; tells where it was read and written.
+// Serves one request to its end. Returns its prefill server and its decode server.
 std::pair<std::string, std::string> serve(Gateway& g, std::uint64_t id) {
     g.pass(1s);
     g.arrive(id);
@@ -53,9 +54,9 @@
     EXPECT_LE(sent, 8);
 }
 
-// Rule 4 over the whole fleet: what each gateway sends a warming server alone adds up. `rate`: requests a
-// second over all gateways; at 10 a second each of 300 gateways is due far less than one request in the
-// window.
+// Rule 4 over the whole fleet: the requests that gateways independently send to a warming server add up. The
+// parameters are the number of gateways and the requests per second over all of them; at 10 per second the
+// share of each of 300 gateways is far less than one request per window.
 struct WarmingFleet : ::testing::TestWithParam<std::pair<int, double>> {
     static constexpr Duration kStep = 4ms;
     struct Due {
@@ -64,60 +65,61 @@
     };
     std::vector<Gateway> gateways;
     std::multimap<Time, Due> due;
-    std::multimap<Time, std::size_t> wakes;
+    std::multimap<Time, std::size_t> timers;
     std::map<std::string, std::vector<Time>> sent;
     Time now{10s};
 
-    void give(std::size_t at, std::vector<Event> events) {
+    void deliver(std::size_t at, std::vector<Event> events) {
         Gateway& g = gateways[at];
         g.now = now;
         g.step(std::move(events));
-        for (const auto& wake : g.all<SetTimer>()) wakes.emplace(wake.at, at);
+        for (const auto& timer : g.all<SetTimer>()) timers.emplace(timer.at, at);
         for (const auto& send : g.all<Send>()) {
             sent[send.server.value].push_back(now);
-            const bool read = send.server.value.front() == 'r';
-            due.emplace(now + (read ? 20ms : 200ms),
+            const bool prefill = send.server.value.front() == 'r';
+            due.emplace(now + (prefill ? 20ms : 200ms),
                         Due{at, AttemptEnded{send.id,
-                                             {read ? 0 : 1},
+                                             {prefill ? 0 : 1},
                                              send.server,
-                                             read ? AttemptOutcome::prefilled : AttemptOutcome::ok,
+                                             prefill ? AttemptOutcome::prefilled : AttemptOutcome::ok,
                                              20ms,
-                                             !read,
+                                             !prefill,
                                              false,
                                              0,
                                              {}}});
         }
     }
-    // Requests arrive evenly in time; some gateways see several times as many as others.
-    void play(Duration length, double rate) {
+    // Requests arrive at a constant rate; some gateways receive several times as many as others.
+    void run(Duration length, double rate) {
         const Time until = now + length;
-        double owed = 0;
+        double pending_arrivals = 0;
         for (; now < until; now += kStep) {
             while (!due.empty() && due.begin()->first <= now) {
                 auto d = due.extract(due.begin());
-                give(d.mapped().gateway, {d.mapped().ended});
+                deliver(d.mapped().gateway, {d.mapped().ended});
             }
-            while (!wakes.empty() && wakes.begin()->first <= now) {
-                const auto at = wakes.begin()->second;
-                wakes.erase(wakes.begin());
-                give(at, {});
+            while (!timers.empty() && timers.begin()->first <= now) {
+                const auto at = timers.begin()->second;
+                timers.erase(timers.begin());
+                deliver(at, {});
             }
-            for (owed += rate * std::chrono::duration<double>(kStep).count(); owed >= 1; owed -= 1) {
+            for (pending_arrivals += rate * std::chrono::duration<double>(kStep).count();
+                 pending_arrivals >= 1; pending_arrivals -= 1) {
                 const double place = unit_draw(++requests);
-                give(static_cast<std::size_t>(place * place * static_cast<double>(gateways.size())),
-                     {request_of(requests)});
+                deliver(static_cast<std::size_t>(place * place * static_cast<double>(gateways.size())),
+                        {request_of(requests)});
             }
         }
     }
     static RequestArrived request_of(std::uint64_t id) {
         RequestArrived out = Gateway::request(id);
-        out.prefix.clear();  // any prefill server is as good
+        out.prefix.clear();  // no prefill server is preferred
         return out;
     }
     static double unit_draw(std::uint64_t i) {
         return static_cast<double>((i * 0x9E3779B97F4A7C15ULL) >> 11U) * 0x1p-53;
     }
-    [[nodiscard]] double most_in(const std::string& server, Duration window) const {
+    [[nodiscard]] double max_requests_in(const std::string& server, Duration window) const {
         const auto it = sent.find(server);
         if (it == sent.end()) return 0;
         std::size_t most = 0, first = 0;
@@ -137,21 +139,21 @@
     for (int i = 0; i < count; ++i) gateways.emplace_back(settings, static_cast<std::uint64_t>(i + 1));
     const auto warm = fleet(4, 4);
     for (std::size_t i = 0; i < gateways.size(); ++i)
-        give(i, {EndpointUpdate{EndpointUpdateKind::snapshot, warm}});
-    play(20s, rate);
+        deliver(i, {EndpointUpdate{EndpointUpdateKind::snapshot, warm}});
+    run(20s, rate);
     auto reader = server("r-cold", "reader"), writer = server("w-cold", "writer");
     reader.started_at = writer.started_at = now;
     for (std::size_t i = 0; i < gateways.size(); ++i)
-        give(i, {EndpointUpdate{EndpointUpdateKind::delta, {reader, writer}}});
-    play(6s, 1.5 * rate);
+        deliver(i, {EndpointUpdate{EndpointUpdateKind::delta, {reader, writer}}});
+    run(6s, 1.5 * rate);
     const double capacity = settings.slow_start_overload_factor * settings.slow_start_initial_capacity *
                             rate / 4 *
                             std::chrono::duration<double>(settings.slow_start_overload_window).count();
     for (const auto* warming : {"r-cold", "w-cold"}) {
-        const double most = most_in(warming, settings.slow_start_overload_window);
-        EXPECT_LE(most, capacity + 2 * std::sqrt(capacity) + 2) << warming;
-        if (capacity > 10) {  // else getting none is within the bound
-            EXPECT_GT(most, 0) << warming;
+        const double max_sent = max_requests_in(warming, settings.slow_start_overload_window);
+        EXPECT_LE(max_sent, capacity + 2 * std::sqrt(capacity) + 2) << warming;
+        if (capacity > 10) {  // with less capacity, receiving no request is correct
+            EXPECT_GT(max_sent, 0) << warming;
         }
     }
 }
@@ -159,26 +161,25 @@
                          ::testing::Values(std::pair{1, 200.0}, std::pair{5, 200.0}, std::pair{25, 200.0},
                                            std::pair{300, 200.0}, std::pair{300, 10.0}, std::pair{25, 3.0}));
 
-// The capacity of all decode servers is counted once a step, and what is sent in that step takes its part of
-// it.
-TEST(Fleet, ManyRequestsInOneStepGetTheCapacityThereIs) {
+// The capacity of all decode servers is computed once per step, and requests sent in that step reduce it.
+TEST(Fleet, RequestsOfOneStepDoNotExceedTheCapacity) {
     const auto sent = [](bool one_step) {
         Gateway g(one_of_many());
         g.list(fleet(8, 8));
-        std::vector<Event> client_workload;
+        std::vector<Event> arrivals;
         std::size_t out = 0;
         for (std::uint64_t id = 1; id <= 60; ++id) {
-            client_workload.emplace_back(Gateway::request(id));
+            arrivals.emplace_back(Gateway::request(id));
             if (one_step) continue;
-            g.step(std::exchange(client_workload, {}));
+            g.step(std::exchange(arrivals, {}));
             out += g.all<Send>().size();
         }
-        g.step(client_workload);
+        g.step(arrivals);
         return out + g.all<Send>().size();
     };
     EXPECT_EQ(sent(true), sent(false));
     EXPECT_GT(sent(true), 5U);
-    EXPECT_LT(sent(true), 20U);  // 1.5 of a hundredth of 800,000 tokens, in requests of 1,200
+    EXPECT_LT(sent(true), 20U);  // 1.5 times 1/100 of 800,000 tokens, at 1,200 per request
 }
 
 TEST(Fleet, APopularPrefixIsPrefilledAtSeveralServers) {
@@ -189,28 +190,28 @@
     EXPECT_GE(readers.size(), 5U);
 }
 
-// A few very long prompts switched gateways that see enough to the ways of those that have sparse
-// observations.
-TEST(Fleet, SparseObservationsFollowTheUsualSizeNotAFewLongPrompts) {
+// Guards against a few very long prompts that raise the typical request size, so that gateways with enough
+// observations behave as if these were sparse.
+TEST(Fleet, SparseObservationsDependOnTheTypicalSizeNotOnAFewLongPrompts) {
     auto settings = plain_settings();
     settings.gateways = 8;
     Gateway g(settings);
     g.list(fleet(8, 4));
     std::uint64_t id = 0;
-    const auto readers_of_usual_ones = [&](double usual, double each_tenth) {
+    const auto prefill_servers_of_usual_prompts = [&](double usual, double every_tenth) {
         std::set<std::string> readers;
         for (int i = 0; i < 300; ++i) {
             g.pass(2s);
-            g.arrive(++id, "talk", i % 10 == 9 ? each_tenth : usual);
+            g.arrive(++id, "talk", i % 10 == 9 ? every_tenth : usual);
             const auto reader = g.sent_to();
             g.end(id, 0, reader, AttemptOutcome::prefilled, true);
             if (i >= 200 && i % 10 != 9) readers.insert(reader);
         }
         return readers.size();
     };
-    EXPECT_EQ(readers_of_usual_ones(1000, 60'000), 1U);  // by prefix: sees enough
-    EXPECT_GE(readers_of_usual_ones(8000, 8000), 4U);    // by session: has sparse observations
-    EXPECT_EQ(readers_of_usual_ones(1000, 1000), 1U);    // and back
+    EXPECT_EQ(prefill_servers_of_usual_prompts(1000, 60'000), 1U);  // by prefix: enough observations
+    EXPECT_GE(prefill_servers_of_usual_prompts(8000, 8000), 4U);    // by session: sparse observations
+    EXPECT_EQ(prefill_servers_of_usual_prompts(1000, 1000), 1U);    // and back
 }
 
 TEST(Fleet, AZoneWithFewPrefillServersSharesItsPrefills) {
@@ -230,10 +231,11 @@
     EXPECT_LE(crowded, 25);
 }
 
-// Lfcc8ee: a session's turns come to any gateway and must find their text, whatever each gateway has seen.
+// Lfcc8ee: the turns of a session may reach any gateway, and must be sent to the server that has their text
+// cached, whatever each gateway has observed.
 TEST(Fleet, GatewaysOfAZonePrefillASessionAtTheSameServer) {
     const auto list = fleet(6, 8) + fleet(6, 8, "south", 1);
-    const auto taught = [&](int seed) {
+    const auto gateway_with_observations = [&](int seed) {
         Gateway g(one_of_many(), static_cast<std::uint64_t>(seed));
         g.list(list);
         for (int i = 0; i < 30; ++i) {
@@ -254,7 +256,7 @@
         }
         return g;
     };
-    Gateway a = taught(1), b = taught(3);
+    Gateway a = gateway_with_observations(1), b = gateway_with_observations(3);
     int same = 0;
     for (std::uint64_t session = 1; session <= 50; ++session) {
         same += serve(a, session).first == serve(b, session).first ? 1 : 0;
@@ -262,9 +264,9 @@
     EXPECT_GE(same, 45);
 }
 
-// Lfcc8ee: a busy zone's few cells with decode servers to spare got all states that left others, 60 streams
-// each, while decode servers of other zones had eight.
-TEST(Fleet, LeavingKvStatesGoWhereDecodeServersAreToSpare) {
+// Lfcc8ee: the few cells with spare decode servers in a busy zone received all KV states that left other
+// cells, 60 streams each, while decode servers of other zones had eight.
+TEST(Fleet, KvStatesLeavingTheirCellGoToSpareDecodeServers) {
     Gateway g(one_of_many());
     g.list(fleet(12, 2) + fleet(4, 7, "north", 1) + fleet(0, 9, "south", 2));
     int near = 0, south = 0;
@@ -292,14 +294,14 @@
         EXPECT_EQ(g.all<CancelAttempt>().empty(), answered);
         g.pass(600ms);
         g.step();
-        EXPECT_TRUE(g.all<CancelAttempt>().empty());  // busy: waited for longer
+        EXPECT_TRUE(g.all<CancelAttempt>().empty());  // busy: the timeout is longer
         g.pass(1200ms);
         g.step();
-        EXPECT_EQ(g.all<CancelAttempt>().empty(), !answered);  // but not for ever
+        EXPECT_EQ(g.all<CancelAttempt>().empty(), !answered);  // but not unlimited
     }
 }
 
-TEST(Fleet, AHealthCheckThatQueuesProvesNoFailure) {
+TEST(Fleet, AFailedHealthCheckIsIgnoredWhereHealthChecksQueue) {
     Gateway g(one_of_many());
     g.list({server("r", "reader"), server("w", "writer")});
     g.step({HealthCheckEnded{{"w"}, AttemptOutcome::ok, 200ms, {}}});
@@ -310,7 +312,7 @@
     EXPECT_TRUE(g.all<CancelAttempt>().empty());
 }
 
-TEST(Fleet, SlowPrefillsMakeItAdmitAPartAndRejectTheRestAtOnce) {
+TEST(Fleet, SlowPrefillsMakeTheGatewayAdmitAPartAndRejectTheRestAtOnce) {
     Gateway g(one_of_many());
     g.list(fleet(8, 8));
     for (std::uint64_t id = 1; id <= 20; ++id) {
@@ -324,21 +326,21 @@
         g.begin_stream(id, 1, writer);
         g.end(id, 1, writer, AttemptOutcome::ok, true);
     }
-    std::size_t taken = 0, refused = 0;
+    std::size_t admitted = 0, rejected = 0;
     for (std::uint64_t id = 100; id < 160; ++id) {
         g.pass(2s);
         g.arrive(id);
-        taken += g.all<Send>().size();
-        refused += g.all<Reject>().size();
+        admitted += g.all<Send>().size();
+        rejected += g.all<Reject>().size();
         if (!g.sent_to().empty())
             g.step({AttemptEnded{{id}, {0}, {g.sent_to()}, AttemptOutcome::error, 3s, true, false, 0, {}}});
     }
-    EXPECT_GT(refused, 20U);
-    EXPECT_GT(taken, 2U);
+    EXPECT_GT(rejected, 20U);
+    EXPECT_GT(admitted, 2U);
 }
 
-// In an overload what is rejected is drawn, request by request: neither long prompts nor certain sessions are
-// singled out.
+// In an overload rejections are drawn independently for each request, so that neither long prompts nor
+// certain sessions are rejected more often.
 TEST(Fleet, RejectionsInAnOverloadFollowNeitherPromptLengthNorSession) {
     constexpr int kSessions = 40;
     constexpr int kRounds = 50;
@@ -363,27 +365,28 @@
         return true;
     };
     for (int n = 0; n < 40; ++n) offer("warm" + std::to_string(n), 2000);
-    std::map<int, int> taken_by_size;
-    std::map<int, int> taken_by_session;
-    int taken = 0;
+    std::map<int, int> admitted_by_size;
+    std::map<int, int> admitted_by_session;
+    int admitted = 0;
     for (int round = 0; round < kRounds; ++round)
         for (int session = 0; session < kSessions; ++session) {
             const int size = (round + session) % kSizes;  // each session has all sizes
             if (!offer("s" + std::to_string(session), 1000 + 200.0 * size)) continue;
-            ++taken;
-            ++taken_by_size[size];
-            ++taken_by_session[session];
+            ++admitted;
+            ++admitted_by_size[size];
+            ++admitted_by_session[session];
         }
     const double all = kSessions * kRounds;
-    const double share = taken / all;
-    EXPECT_LT(share, 0.95) << "no jam, nothing is shown";
+    const double share = admitted / all;
+    EXPECT_LT(share, 0.95) << "no overload, so the test shows nothing";
     EXPECT_GT(share, 0.2);
-    EXPECT_GT(taken_by_size[kSizes - 1] / (all / kSizes), share * 2 / 3);  // of the longest tenth
+    EXPECT_GT(admitted_by_size[kSizes - 1] / (all / kSizes), share * 2 / 3);  // of the longest tenth
     for (int session = 0; session < kSessions; ++session)
-        EXPECT_GT(taken_by_session[session], share * kRounds / 3) << session;
+        EXPECT_GT(admitted_by_session[session], share * kRounds / 3) << session;
 }
 
-// Lfcc8ee: prefill servers full of reads that could be in time no more, so that all others were late as well.
+// Lfcc8ee: prefill servers were filled with prefills that could no longer meet their objective, which made
+// all others late, too.
 TEST(Fleet, InAnOverloadAPrefillPastItsObjectiveIsCancelledAndRejected) {
     for (const Duration usual : {Duration{1500ms}, Duration{20ms}}) {
         Gateway g(one_of_many());
@@ -412,12 +415,12 @@
     }
 }
 
-TEST(Fleet, DecodeServersAtCapacityLowerOneLimitForAll) {
-    const auto admitted = [](int fulls) {
+TEST(Fleet, DecodeServersAtCapacityLowerTheCommonLimit) {
+    const auto admitted = [](int rejections_at_capacity) {
         Gateway g(one_of_many());
         g.list(fleet(12, 12));
         std::uint64_t id = 1;
-        for (int i = 0; i < fulls; ++i, ++id) {
+        for (int i = 0; i < rejections_at_capacity; ++i, ++id) {
             g.pass(10ms);
             g.arrive(id);
             g.end(id, 0, g.sent_to(), AttemptOutcome::prefilled);
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -31,7 +31,7 @@
     ServerHealth health;
 };
 
-TEST(OutlierDetection, TwoErrorsCloseTogetherEject) {
+TEST(OutlierDetection, TwoErrorsInQuickSuccessionEject) {
     Detection d;
     d.outliers.record_error(kServer, d.health, kNow);
     EXPECT_TRUE(d.health.recently_failed());
@@ -42,24 +42,25 @@
     EXPECT_TRUE(d.outliers.unhealthy_servers().contains(kServer));
 }
 
-TEST(OutlierDetection, EjectionsDoubleUpToTheTimeToWarmUp) {
+TEST(OutlierDetection, EjectionTimeDoublesUpToTheWarmUpTime) {
     Detection d;
     Time now = kNow;
     for (const Duration expected : {Duration(1s), Duration(2s), Duration(3s), Duration(3s)}) {
         d.outliers.eject(kServer, d.health, now);
-        d.outliers.eject(kServer, d.health, now);  // failures of the same moment count once
-        EXPECT_EQ(OutlierDetection::return_due(d.health), now + expected);
+        d.outliers.eject(kServer, d.health, now);  // simultaneous failures count once
+        EXPECT_EQ(OutlierDetection::readmission_due(d.health), now + expected);
         now += expected;
-        EXPECT_FALSE(d.outliers.begin_return(d.health, now - 1ns));
-        EXPECT_FALSE(d.outliers.begin_return(d.health, now));  // without health checks the trial is open
+        EXPECT_FALSE(d.outliers.begin_readmission(d.health, now - 1ns));
+        EXPECT_FALSE(
+            d.outliers.begin_readmission(d.health, now));  // without health checks the trial begins at once
         EXPECT_TRUE(d.admits(now));
     }
 }
 
-TEST(OutlierDetection, TrialIsOneIdempotentRequestAtATimeAndTwoAnswers) {
+TEST(OutlierDetection, TrialAllowsOneIdempotentRequestAtATimeAndEndsAfterTwoSuccesses) {
     Detection d;
     d.outliers.eject(kServer, d.health, kNow);
-    (void)d.outliers.begin_return(d.health, kNow + 1s);
+    (void)d.outliers.begin_readmission(d.health, kNow + 1s);
     EXPECT_FALSE(d.admits(kNow + 1s, Idempotency::non_idempotent));
     d.outliers.record_sent(d.health, kNow + 1s);
     EXPECT_FALSE(d.admits(kNow + 1s));
@@ -71,7 +72,7 @@
     EXPECT_TRUE(d.outliers.unhealthy_servers().empty());
 }
 
-TEST(OutlierDetection, WhereAllAreEjectedTheLeastBadIsTriedAtAPace) {
+TEST(OutlierDetection, WithoutHealthyServersAnEjectedOneIsUsedAtALimitedRate) {
     Detection d;
     d.outliers.eject(kServer, d.health, kNow);
     d.outliers.record_sent(d.health, kNow);
@@ -79,7 +80,7 @@
     EXPECT_TRUE(d.outliers.admits(d.health, Idempotency::idempotent, false, kNow + 250ms));
 }
 
-TEST(OutlierDetection, HealthCheckDecidesOnSilenceWithSparseObservations) {
+TEST(OutlierDetection, WithSparseObservationsAHealthCheckDecidesOnASilentServer) {
     Detection d(true);
     const Duration timeout = 400ms;
     const auto at = [&](Duration elapsed) {
@@ -89,11 +90,11 @@
     EXPECT_TRUE(at(100ms).send_health_check);
     EXPECT_FALSE(at(101ms).send_health_check);  // one is in flight
     d.outliers.record_health_check(d.health, {kServer, AttemptOutcome::ok, 2ms, {}}, kNow + 102ms);
-    EXPECT_FALSE(at(400ms).cancel_attempt);  // it is busy: waited for three times as long
+    EXPECT_FALSE(at(400ms).cancel_attempt);  // the server is busy: three times the timeout
     EXPECT_TRUE(at(1200ms).cancel_attempt);
 }
 
-TEST(OutlierDetection, FailedHealthCheckEndsTheWait) {
+TEST(OutlierDetection, FailedHealthCheckCancelsTheAttempt) {
     Detection d(true);
     (void)d.outliers.check_silence(d.health, kNow, 400ms, {kNow + 100ms, true});
     d.outliers.record_health_check(d.health, {kServer, AttemptOutcome::timeout, 250ms, {}}, kNow + 350ms);
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -23,12 +23,12 @@
 AttemptHistory may_have_run() {
     AttemptHistory out;
     out.sends = 1;
-    out.ran_at = Endpoint{{"first"}, "a", "decode", 1};
-    out.ran_sent_at = kSent;
+    out.first_run_endpoint = Endpoint{{"first"}, "a", "decode", 1};
+    out.first_run_sent_at = kSent;
     return out;
 }
 
-TEST(RetryPolicy, WhatHasNotRunMayBeAttemptedAnywhereAndRejected) {
+TEST(RetryPolicy, RequestThatHasNotRunMayBeSentAnywhereAndRejected) {
     const RetryPolicy policy(4, kTick);
     const auto strict = request_class(Idempotency::non_idempotent);
     EXPECT_TRUE(policy.may_retry(strict, {}, kSent));
@@ -37,7 +37,7 @@
     EXPECT_EQ(policy.attempts_left(may_have_run()), 3);
 }
 
-TEST(RetryPolicy, NonIdempotentThatMayHaveRunIsNeitherRetriedNorRejected) {
+TEST(RetryPolicy, NonIdempotentRequestThatMayHaveRunIsNeitherRetriedNorRejected) {
     const RetryPolicy policy(4, kTick);
     const auto strict = request_class(Idempotency::non_idempotent);
     EXPECT_FALSE(policy.may_retry(strict, may_have_run(), kSent));
@@ -45,7 +45,7 @@
     EXPECT_TRUE(policy.may_retry(request_class(Idempotency::idempotent), may_have_run(), kSent));
 }
 
-TEST(RetryPolicy, KeyedRetriesStayInScopeAndWindow) {
+TEST(RetryPolicy, KeyedRetriesStayWithinDeduplicationScopeAndWindow) {
     const RetryPolicy policy(4, kTick);
     const auto zone = request_class(Idempotency::idempotent_by_key, DeduplicationScope::zone);
     const auto cell = request_class(Idempotency::idempotent_by_key, DeduplicationScope::cell);
@@ -53,12 +53,12 @@
     EXPECT_TRUE(policy.may_send_to(same_zone, zone, may_have_run(), kSent));
     EXPECT_FALSE(policy.may_send_to(same_zone, cell, may_have_run(), kSent));
     EXPECT_FALSE(policy.may_send_to({{"y"}, "b", "decode", 1}, zone, may_have_run(), kSent));
-    // A step may come a tick late: the last tick of the window does not count.
+    // A step may run one tick late, so the last tick of the window is excluded.
     EXPECT_TRUE(policy.may_retry(zone, may_have_run(), kSent + 1s - kTick - 1ns));
     EXPECT_FALSE(policy.may_retry(zone, may_have_run(), kSent + 1s - kTick));
 }
 
-TEST(RetryPolicy, KeyedThatMayHaveRunIsRejectedOnlyWhereAllServersShareKeys) {
+TEST(RetryPolicy, KeyedRequestThatMayHaveRunIsRejectedOnlyIfAllServersShareKeys) {
     EXPECT_TRUE(RetryPolicy::may_reject(request_class(Idempotency::idempotent_by_key), may_have_run()));
     EXPECT_FALSE(RetryPolicy::may_reject(
         request_class(Idempotency::idempotent_by_key, DeduplicationScope::zone), may_have_run()));
--- a/tests/policy/router_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -7,7 +7,7 @@
 namespace chalksail::testing {
 namespace {
 
-TEST(RequestLifecycle, PrefillsThenDecodesThenForgets) {
+TEST(RequestLifecycle, PrefillsThenDecodesThenIsNoLongerTracked) {
     Gateway g;
     g.list({server("r", "reader"), server("w", "writer")});
     g.arrive(1);
@@ -20,7 +20,7 @@
     EXPECT_EQ(g.router.tracked_requests(), 0U);
 }
 
-TEST(Settings, InconsistentSettingsAreRefusedWithAReason) {
+TEST(Settings, InconsistentSettingsThrow) {
     auto s = plain_settings();
     s.classes.clear();
     EXPECT_THROW(Router(s, 1), std::invalid_argument);
@@ -32,7 +32,7 @@
     EXPECT_THROW(Router(s, 1), std::invalid_argument);
 }
 
-TEST(Rules, DrainingServerGetsNothing) {
+TEST(Rules, DrainingServerReceivesNoRequests) {
     Gateway g;
     auto draining = server("r", "reader");
     draining.state = EndpointState::draining;
@@ -42,7 +42,7 @@
     EXPECT_EQ(g.sent_to(), "");
 }
 
-TEST(Rules, NonIdempotentIsNeitherRetriedNorRejectedAfterItMayHaveRun) {
+TEST(Rules, NonIdempotentRequestIsNeitherRetriedNorRejectedAfterItMayHaveRun) {
     for (const auto outcome :
          {AttemptOutcome::error, AttemptOutcome::timeout, AttemptOutcome::reset, AttemptOutcome::cancelled}) {
         Gateway g;
@@ -58,7 +58,7 @@
     }
 }
 
-TEST(Rules, NonIdempotentIsRetriedWhenProvedNotToHaveRun) {
+TEST(Rules, NonIdempotentRequestIsRetriedWhenProvedNotToHaveRun) {
     for (const auto outcome : {AttemptOutcome::at_capacity, AttemptOutcome::connect_failed}) {
         Gateway g;
         g.list({server("r", "reader"), server("v", "writer"), server("w", "writer")});
@@ -71,7 +71,7 @@
     }
 }
 
-TEST(Rules, KeyedStaysInItsDeduplicationScope) {
+TEST(Rules, KeyedRequestStaysInItsDeduplicationScope) {
     Gateway g;
     g.list({server("r", "reader"), server("w", "writer", "north"), server("far", "writer", "south", 1)});
     g.arrive(1, "keyed");
@@ -88,13 +88,14 @@
     g.arrive(1);
     g.step({ClientDisconnected{{1}}});
     EXPECT_EQ(g.all<CancelAttempt>().size(), 1U);
-    g.end(1, 0, "r", AttemptOutcome::prefilled);  // the prefill had ended all the same
+    g.end(1, 0, "r", AttemptOutcome::prefilled);  // the prefill had ended before the cancellation arrived
     EXPECT_EQ(g.all<ReleaseKvState>().size(), 1U);
     EXPECT_EQ(g.router.tracked_requests(), 0U);
 }
 
-// Guards against healthy servers that are taken out by clients who leave while a connection is being made.
-TEST(Health, AClientThatDisconnectsWhileItsAttemptDialsProvesNothing) {
+// Guards against the ejection of healthy servers when clients disconnect while a connection is being
+// established.
+TEST(Health, AClientThatDisconnectsDuringConnectDoesNotEjectTheServer) {
     Gateway g;
     g.list({server("r", "reader"), server("w", "writer")});
     g.arrive(1);
@@ -121,9 +122,9 @@
     EXPECT_LT(g.now - ended, 400ms);
 }
 
-// Guards against a state kept while one decode server after another can't be reached: its time does not begin
-// anew with an attempt that never came to a server.
-TEST(Rules, ReleaseTimeRunsOnWhileNoConnectionComesUp) {
+// Guards against a KV state that is not released in time while one decode server after another is
+// unreachable: an attempt that never reached a server does not restart the release time.
+TEST(Rules, ReleaseTimeIsNotRestartedByFailedConnections) {
     Gateway g;
     g.list({server("r", "reader"), server("u", "writer"), server("v", "writer"), server("w", "writer")});
     g.arrive(1);
@@ -137,8 +138,9 @@
     EXPECT_EQ(g.all<ReleaseKvState>().size(), 1U);
 }
 
-// The same behind a write that breaks, is given up or cancelled without an answer: it may lie unread.
-TEST(Rules, ReleaseTimeRunsOnOverEndsWithoutAnAnswer) {
+// The same holds for an attempt that is reset, times out or is cancelled without an answer: the server may
+// not have read it.
+TEST(Rules, ReleaseTimeIsNotRestartedByAttemptsWithoutAnAnswer) {
     for (const auto outcome : {AttemptOutcome::reset, AttemptOutcome::timeout, AttemptOutcome::cancelled,
                                AttemptOutcome::at_capacity}) {
         Gateway g;
@@ -148,7 +150,7 @@
         ASSERT_EQ(g.sent_to(), "w");
         auto removed = server("w", "writer");
         removed.state = EndpointState::removed;
-        g.list({removed}, EndpointUpdateKind::delta);  // nobody is left to write
+        g.list({removed}, EndpointUpdateKind::delta);  // no decode server is left
         const Time held = g.now;
         g.pass(300ms);
         g.end(1, 1, "w", outcome);
@@ -156,7 +158,7 @@
             g.pass(4ms);
             g.step();
         }
-        // An answer proves that the write had come: the state has its whole time again.
+        // An answer proves that the attempt reached the server, which restarts the release time.
         EXPECT_LT(g.now - held, outcome == AttemptOutcome::at_capacity ? 700ms : 400ms)
             << static_cast<int>(outcome);
         EXPECT_GE(g.now - held, outcome == AttemptOutcome::at_capacity ? 600ms : 300ms)
@@ -166,7 +168,7 @@
 
 TEST(Rules, HeldRequestIsAnsweredBeforeItsDeadline) {
     Gateway g;
-    g.list({server("w", "writer")});  // none that reads
+    g.list({server("w", "writer")});  // no prefill server
     g.arrive(1);
     const Time start = g.now;
     while (g.all<Reject>().empty() && g.now < start + 5s) {
@@ -177,11 +179,11 @@
     EXPECT_EQ(g.router.tracked_requests(), 0U);
 }
 
-// A step that comes a tick late finds the deadline over: what was never sent is given up before, and
-// rejected.
+// Guards against a step that runs one tick late and finds the deadline passed: a request that was never sent
+// is rejected two ticks earlier.
 TEST(Rules, HeldRequestIsRejectedTwoTicksBeforeItsDeadline) {
     Gateway g;
-    g.list({server("w", "writer")});  // none that reads, and it may not read by itself
+    g.list({server("w", "writer")});  // no prefill server, and it may not prefill
     g.arrive(1);
     g.pass(4s - 6ms);
     g.step();
@@ -189,8 +191,8 @@
     EXPECT_EQ(g.all<Fail>().size(), 0U);
 }
 
-// Nobody could write the answer: it is rejected at its objective, not held until its deadline.
-TEST(Holding, WithNoDecodeServerInServiceOnlyUntilTheObjective) {
+// Without a decode server, a request is rejected at its objective instead of being held until its deadline.
+TEST(Holding, EndsAtTheObjectiveWithoutADecodeServer) {
     Gateway g;
     g.list({server("r", "reader")});
     g.arrive(1);
@@ -202,7 +204,7 @@
     EXPECT_LE(g.now - start, plain_settings().classes[0].first_token_objective + 8ms);
 }
 
-TEST(Rules, WarmingServerGetsOneRequestAWindowWhileNothingIsKnown) {
+TEST(Rules, WarmingServerReceivesOneRequestPerWindowWithoutObservations) {
     Gateway g;
     auto warming = server("w", "writer");
     warming.started_at = g.now - 1s;
@@ -214,7 +216,7 @@
     }
 }
 
-TEST(Holding, CountsPrefillsInFlightAgainstTheCapacity) {
+TEST(Holding, PrefillsInFlightCountAgainstDecodeCapacity) {
     Gateway g;
     g.list({server("r", "reader"), server("w", "writer")});
     int sent = 0;
@@ -227,11 +229,11 @@
 }
 
 TEST(Holding, AtCapacityLowersADecodeServersLimit) {
-    const auto admitted = [](int fulls) {
+    const auto admitted = [](int rejections_at_capacity) {
         Gateway g;
         g.list({server("r", "reader"), server("w", "writer")});
         std::uint64_t id = 1;
-        for (; fulls > 0; --fulls, ++id) {
+        for (; rejections_at_capacity > 0; --rejections_at_capacity, ++id) {
             g.pass(1s);
             g.arrive(id);
             g.end(id, 0, "r", AttemptOutcome::prefilled);
@@ -248,7 +250,7 @@
     EXPECT_LT(admitted(3), admitted(0));
 }
 
-TEST(Holding, LateFirstTokenAfterANearTransferLowersTheLimit) {
+TEST(Holding, LateFirstTokenAfterATransferWithinTheCellLowersTheLimit) {
     const auto admitted = [](Duration first_token) {
         Gateway g;
         g.list({server("r", "reader"), server("w", "writer")});
@@ -273,7 +275,7 @@
     EXPECT_LT(admitted(900ms), admitted(50ms));
 }
 
-TEST(Holding, FullMemoryReportClosesADecodeServerButNotForGood) {
+TEST(Holding, ReportOfFullMemoryClosesADecodeServerTemporarily) {
     auto settings = plain_settings();
     settings.report_fields = {ReportField::active, ReportField::memory_share};
     Gateway g(settings);
@@ -284,17 +286,17 @@
     g.arrive(2);
     EXPECT_EQ(g.sent_to(), "");  // held before its prefill
     g.pass(3500ms);
-    g.step();  // nothing has been sent there, so no newer report came
+    g.step();  // no request was sent there, so there is no newer report
     g.arrive(3);
     EXPECT_EQ(g.sent_to(), "r");
 }
 
-TEST(Holding, PrefillQueueIsBoundedByTheObservedPace) {
+TEST(Holding, PrefillQueueIsBoundedByTheObservedSpeed) {
     Gateway g;
     g.list({server("r", "reader"), server("v", "writer"), server("w", "writer")});
     g.arrive(1);
     g.step({AttemptEnded{
-        {1}, {0}, {"r"}, AttemptOutcome::prefilled, 300ms, false, false, 0, {}}});  // 0.2 ms a token
+        {1}, {0}, {"r"}, AttemptOutcome::prefilled, 300ms, false, false, 0, {}}});  // 0.2 ms per token
     int sent = 0;
     for (std::uint64_t id = 10; id < 30; ++id) {
         auto a = Gateway::request(id);
@@ -306,7 +308,7 @@
     EXPECT_LE(sent, 2);
 }
 
-TEST(Health, SilentPrefillServerIsLeftButABusyOneIsWaitedFor) {
+TEST(Health, AttemptsAtASilentPrefillServerAreCancelledButNotAtABusyOne) {
     for (const bool busy : {false, true}) {
         Gateway g;
         g.list({server("r", "reader"), server("w", "writer")});
@@ -327,7 +329,7 @@
     }
 }
 
-TEST(Health, WhenAllDecodeServersFailAttemptsAreNotUsedUpAtOnce) {
+TEST(Health, WhenAllDecodeServersFailAttemptsAreSpreadOverTime) {
     Gateway g;
     g.list({server("r", "reader"), server("v", "writer"), server("w", "writer")});
     g.arrive(1);
@@ -336,7 +338,7 @@
         g.end(1, attempt, g.sent_to(), AttemptOutcome::connect_failed);
         g.pass(4ms);
     }
-    EXPECT_TRUE(g.all<Reject>().empty());  // an attempt is left, and waits for its time
+    EXPECT_TRUE(g.all<Reject>().empty());  // one attempt is left, to be sent later
     g.pass(250ms);
     g.step();
     EXPECT_FALSE(g.sent_to().empty());
@@ -347,25 +349,25 @@
     g.list({server("r", "reader"), server("v", "writer"), server("w", "writer")});
     g.arrive(1);
     g.end(1, 0, "r", AttemptOutcome::prefilled);
-    const auto erring = g.sent_to();
-    g.end(1, 1, erring, AttemptOutcome::error);
+    const auto failing = g.sent_to();
+    g.end(1, 1, failing, AttemptOutcome::error);
     const auto other = g.sent_to();
-    g.arrive(2, "order");  // the other decode server is the busier one now
+    g.arrive(2, "order");  // the other decode server is now busier
     g.end(2, 0, "r", AttemptOutcome::prefilled);
     EXPECT_EQ(g.sent_to(), other);
 }
 
-TEST(DecodeSelection, AnOverloadedLinkKeepsKvStatesInTheirCell) {
-    const auto chosen = [](Duration far_pull) {
+TEST(DecodeSelection, SlowTransfersKeepKvStatesInTheirCell) {
+    const auto chosen = [](Duration transfer_time) {
         Gateway g;
         auto lone = server("r", "reader", "north", 0);
         g.list({lone, server("far", "writer", "north", 1)});
         g.arrive(1);
         g.end(1, 0, "r", AttemptOutcome::prefilled);
-        g.step({StreamStarted{{1}, {1}, {"far"}, far_pull}});
+        g.step({StreamStarted{{1}, {1}, {"far"}, transfer_time}});
         g.end(1, 1, "far", AttemptOutcome::ok, true);
         g.list({server("near", "writer", "north", 0)}, EndpointUpdateKind::delta);
-        for (std::uint64_t id = 2; id < 8; ++id) {  // the near decode server carries some streams already
+        for (std::uint64_t id = 2; id < 8; ++id) {  // the near decode server already has some streams
             g.arrive(id);
             g.end(id, 0, "r", AttemptOutcome::prefilled);
             if (g.sent_to() != "near") return g.sent_to();
@@ -376,7 +378,7 @@
     EXPECT_EQ(chosen(900ms), "near");
 }
 
-TEST(PrefillSelection, SessionReturnsToItsCachedText) {
+TEST(PrefillSelection, SessionReturnsToTheServerWithItsCachedText) {
     Gateway g;
     g.list({server("q", "reader"), server("r", "reader"), server("w", "writer")});
     auto first = Gateway::request(1);
@@ -389,8 +391,8 @@
     EXPECT_EQ(g.sent_to(), home);
 }
 
-// What a server tells of its cached text counts in place of the estimate: found where it is, not looked for
-// where it was evicted; and it only weighs as much as it saves.
+// A server's report of its cached text replaces the estimate: a request follows the text to the server that
+// has it, not to a server that has evicted it, and the text counts only for the prefill time that it saves.
 TEST(PrefillSelection, ReportedCacheCountsInPlaceOfTheEstimate) {
     for (const std::string& holder : {std::string("q"), std::string("r")}) {
         Gateway g;
@@ -414,12 +416,12 @@
     const auto home = g.sent_to();
     const std::string other = home == "q" ? "r" : "q";
     g.end(1, 0, home, AttemptOutcome::prefilled, true);
-    g.step({CacheReportingChanged{{home}, true}});  // it names nothing of the next
+    g.step({CacheReportingChanged{{home}, true}});  // it reports none of the next request's text
     auto next = Gateway::request(2, "talk", 10'000);
     next.session = first.session;
-    next.cached_prefixes = {{{other}, 5000}};  // not told of: its word does not count
+    next.cached_prefixes = {{{other}, 5000}};  // ignored, as this server is not known to report
     g.step({next});
-    EXPECT_EQ(g.sent_to(), home);  // both seem empty: the tie is as before
+    EXPECT_EQ(g.sent_to(), home);  // both caches count as empty, so the tie is broken as before
     g.end(2, 0, home, AttemptOutcome::prefilled, true);
     g.step({CacheReportingChanged{{other}, true}});
     next.id = {3};
@@ -431,7 +433,7 @@
     g.list({server("q", "reader"), server("r", "reader"), server("w", "writer")});
     g.step({CacheReportingChanged{{"q"}, true}, CacheReportingChanged{{"r"}, true}});
     std::set<std::string> readers;
-    for (std::uint64_t id = 1; id <= 8; ++id) {  // none of them read yet
+    for (std::uint64_t id = 1; id <= 8; ++id) {  // none has been prefilled yet
         auto a = Gateway::request(id, "talk", 10'000);
         a.cached_prefixes = {{{"q"}, 6000}};
         g.step({a});
@@ -439,14 +441,14 @@
     }
     EXPECT_TRUE(readers.contains("r"));
 }
-// A prefill server that keeps the text but has no capacity is waited for, for a part of the objective; one
-// that drains is not.
-TEST(PrefillSelection, BusyPrefillServerWithTheTextCachedIsWaitedFor) {
+// A request waits for a prefill server that has its text cached but no queue space, up to a fraction of the
+// objective. It does not wait for a draining server.
+TEST(PrefillSelection, RequestWaitsForABusyServerWithItsTextCached) {
     for (const bool drains : {false, true}) {
         Gateway g;
         g.list({server("q", "reader"), server("r", "reader"), server("w", "writer")});
         g.step({CacheReportingChanged{{"q"}, true}, CacheReportingChanged{{"r"}, true}});
-        // Reads are slow: a second one at the same prefill server would take too much of the objective.
+        // Prefills are slow: a second one at the same server would take too much of the objective.
         for (std::uint64_t id = 1; id <= 4; ++id) {
             g.step({Gateway::request(id, "talk", 3000)});
             const auto at = g.sent_to();
@@ -473,12 +475,12 @@
             g.pass(4ms);
             g.step();
         }
-        EXPECT_EQ(g.sent_to(), other);  // it has waited long enough
+        EXPECT_EQ(g.sent_to(), other);  // the maximum wait is over
         EXPECT_GT(g.now - from, 400ms);
         EXPECT_LT(g.now - from, 1s);
     }
 }
-TEST(PrefillSelection, ARestartedServerIsEstimatedAgain) {
+TEST(PrefillSelection, ReportingEndsWhenAServerRestarts) {
     Gateway g;
     auto q = server("q", "reader");
     g.list({q, server("r", "reader"), server("w", "writer")});
@@ -504,7 +506,7 @@
         int sent = 0;
         for (std::uint64_t id = 1; id <= 400; ++id) {
             auto a = Gateway::request(id, "talk", 100);
-            a.output_duration_hint = hint;  // at 50 ms a token
+            a.output_duration_hint = hint;  // at 50 ms per token
             a.max_output = cap;
             g.step({a});
             sent += static_cast<int>(g.all<Send>().size());
@@ -517,7 +519,7 @@
     EXPECT_EQ(admitted(50ms * 1100, 200), admitted(50ms * 260, 200));    // capped
 }
 
-TEST(PrefillSelection, TiesGoByPrefixHashAndStayThere) {
+TEST(PrefillSelection, TiesAreBrokenByPrefixHashConsistently) {
     std::set<std::string> homes;
     for (int prefix = 0; prefix < 20; ++prefix) {
         std::string home;
@@ -544,7 +546,7 @@
     EXPECT_EQ(g.sent_to(), "r");
 }
 
-TEST(Health, ConnectFailureEjectsAndAHealthCheckLeadsBack) {
+TEST(Health, ConnectFailureEjectsAServerAndAHealthCheckReadmitsIt) {
     Gateway g;
     g.list({server("r", "reader"), server("q", "reader"), server("w", "writer")});
     g.arrive(1);
@@ -563,7 +565,8 @@
     EXPECT_EQ(g.sent_to(), bad);
 }
 
-// Random but legal sequences from fixed seeds, with a check of the rules that knows nothing of the router.
+// Generates random but legal event sequences from fixed seeds, and checks the rules independently of the
+// router.
 class RandomGateway {
 public:
     RandomGateway(const Settings& settings, unsigned seed)
@@ -587,9 +590,9 @@
 
 private:
     struct Open {
-        Idempotency effect{};
+        Idempotency idempotency{};
         Time deadline{};
-        std::string out;  // where an attempt is out
+        std::string attempt_at;  // server of the attempt in flight; empty: none
         Time sent{};
         bool streaming = false;
         bool answered = false;
@@ -597,7 +600,7 @@
         std::string ran_zone;
         Time ran_sent{};
         bool state = false;
-        Time pinned_since{};
+        Time state_waiting_since{};
         int sends = 0;
     };
     int roll(int n) { return std::uniform_int_distribution<int>(0, n - 1)(random_); }
@@ -614,13 +617,13 @@
             auto a = Gateway::request(++last_id_, settings_.classes[cls].name, 100 + roll(5000));
             a.time_remaining = std::chrono::milliseconds(200 + roll(3800));
             if (roll(4) == 0) a.prefix.clear();
-            open_[last_id_].effect = settings_.classes[cls].idempotency;
+            open_[last_id_].idempotency = settings_.classes[cls].idempotency;
             open_[last_id_].deadline = gateway_.now + a.time_remaining;
             events.emplace_back(a);
         }
         for (auto& [id, o] : open_) {
-            if (o.out.empty()) {
-                if (!o.answered && roll(400) == 0) hang_up(id, o, events);
+            if (o.attempt_at.empty()) {
+                if (!o.answered && roll(400) == 0) disconnect(id, o, events);
                 continue;
             }
             if (!o.streaming && gateway_.now >= o.deadline) end(id, o, AttemptOutcome::timeout, events);
@@ -635,32 +638,32 @@
         }
         check(gateway_.step(events));
         std::erase_if(open_, [](const auto& p) {
-            return p.second.answered && p.second.out.empty() && !p.second.state;
+            return p.second.answered && p.second.attempt_at.empty() && !p.second.state;
         });
     }
-    void hang_up(std::uint64_t id, Open& o, std::vector<Event>& events) {
+    void disconnect(std::uint64_t id, Open& o, std::vector<Event>& events) {
         o.answered = true;
         events.emplace_back(ClientDisconnected{{id}});
     }
     void progress(std::uint64_t id, Open& o, std::vector<Event>& events) {
-        const bool reader = o.out[0] == 'r';
+        const bool reader = o.attempt_at[0] == 'r';
         static constexpr AttemptOutcome kBad[] = {AttemptOutcome::error, AttemptOutcome::at_capacity,
                                                   AttemptOutcome::connect_failed, AttemptOutcome::reset};
         if (!o.streaming && roll(4) == 0) return end(id, o, kBad[roll(4)], events);
         if (reader) return end(id, o, AttemptOutcome::prefilled, events);
         if (o.streaming) return end(id, o, AttemptOutcome::ok, events);
-        if (o.out[0] == 'w' && !o.state) return end(id, o, AttemptOutcome::at_capacity, events, true);
+        if (o.attempt_at[0] == 'w' && !o.state) return end(id, o, AttemptOutcome::at_capacity, events, true);
         o.streaming = true;
         o.state = false;
-        events.emplace_back(StreamStarted{{id}, {o.sends - 1}, {o.out}, gateway_.now - o.sent});
+        events.emplace_back(StreamStarted{{id}, {o.sends - 1}, {o.attempt_at}, gateway_.now - o.sent});
     }
     void end(std::uint64_t id, Open& o, AttemptOutcome outcome, std::vector<Event>& events,
              bool kv_state_missing = false) {
-        const bool writer = o.out[0] != 'r';
+        const bool writer = o.attempt_at[0] != 'r';
         if (writer && outcome != AttemptOutcome::at_capacity && outcome != AttemptOutcome::connect_failed &&
             !o.may_have_run) {
             o.may_have_run = true;
-            o.ran_zone = entries_[o.out].zone;
+            o.ran_zone = entries_[o.attempt_at].zone;
             o.ran_sent = o.sent;
         }
         if (outcome == AttemptOutcome::prefilled) o.state = true;
@@ -668,41 +671,42 @@
         if (o.streaming) o.answered = true;
         events.emplace_back(AttemptEnded{{id},
                                          {o.sends - 1},
-                                         {o.out},
+                                         {o.attempt_at},
                                          outcome,
                                          gateway_.now - o.sent,
                                          o.answered,
                                          kv_state_missing,
                                          0,
                                          {}});
-        o.out.clear();
+        o.attempt_at.clear();
         o.streaming = false;
-        o.pinned_since = gateway_.now;
+        o.state_waiting_since = gateway_.now;
     }
     void check(const std::vector<Action>& actions) {
         std::vector<std::uint64_t> cancelled;
         for (const auto& action : actions) {
             if (const auto* send = std::get_if<Send>(&action)) {
                 auto& o = open_.at(send->id.value);
-                EXPECT_FALSE(o.answered) << "sent after its answer";
-                EXPECT_TRUE(o.out.empty()) << "two attempts out";
-                EXPECT_EQ(entries_.at(send->server.value).state, EndpointState::up) << "drain broken";
+                EXPECT_FALSE(o.answered) << "sent after the final response";
+                EXPECT_TRUE(o.attempt_at.empty()) << "two attempts in flight";
+                EXPECT_EQ(entries_.at(send->server.value).state, EndpointState::up)
+                    << "sent to a draining server";
                 EXPECT_LT(o.sends, settings_.max_attempts);
                 if (send->server.value[0] != 'r' && o.may_have_run) {
-                    EXPECT_NE(o.effect, Idempotency::non_idempotent);
-                    if (o.effect == Idempotency::idempotent_by_key) {
+                    EXPECT_NE(o.idempotency, Idempotency::non_idempotent);
+                    if (o.idempotency == Idempotency::idempotent_by_key) {
                         EXPECT_EQ(entries_.at(send->server.value).zone, o.ran_zone);
                         EXPECT_LE(gateway_.now, o.ran_sent + settings_.classes[2].deduplication_window);
                     }
                 }
-                o.out = send->server.value;
+                o.attempt_at = send->server.value;
                 o.sent = gateway_.now;
                 ++o.sends;
-            } else if (const auto* refuse = std::get_if<Reject>(&action)) {
-                const auto& o = open_.at(refuse->id.value);
-                EXPECT_TRUE(!o.may_have_run || o.effect == Idempotency::idempotent)
-                    << "refused after it may have run";
-                answer(refuse->id.value);
+            } else if (const auto* reject = std::get_if<Reject>(&action)) {
+                const auto& o = open_.at(reject->id.value);
+                EXPECT_TRUE(!o.may_have_run || o.idempotency == Idempotency::idempotent)
+                    << "rejected although it may have run";
+                answer(reject->id.value);
             } else if (const auto* fail = std::get_if<Fail>(&action)) {
                 answer(fail->id.value);
             } else if (const auto* release = std::get_if<ReleaseKvState>(&action)) {
@@ -714,21 +718,21 @@
         for (const auto& [id, o] : open_) {
             const bool waits = !o.answered && !o.streaming;  // a stream has no deadline
             EXPECT_TRUE(!waits || gateway_.now <= o.deadline + settings_.answer_slack) << "answered too late";
-            const bool pinned = o.state && o.out.empty();
-            EXPECT_TRUE(!pinned || gateway_.now <= o.pinned_since + settings_.release_within)
-                << "left pinned";
+            const bool state_waits = o.state && o.attempt_at.empty();
+            EXPECT_TRUE(!state_waits || gateway_.now <= o.state_waiting_since + settings_.release_within)
+                << "KV state not released in time";
         }
         for (const auto id : cancelled) {
             auto& o = open_.at(id);
             std::vector<Event> events;
-            if (!o.out.empty()) end(id, o, AttemptOutcome::cancelled, events);
+            if (!o.attempt_at.empty()) end(id, o, AttemptOutcome::cancelled, events);
             check(gateway_.step(events));
         }
     }
     void answer(std::uint64_t id) {
         auto& o = open_.at(id);
-        EXPECT_FALSE(o.answered) << "two answers";
-        EXPECT_TRUE(o.out.empty()) << "answered with an attempt out";
+        EXPECT_FALSE(o.answered) << "two final responses";
+        EXPECT_TRUE(o.attempt_at.empty()) << "final response with an attempt in flight";
         o.answered = true;
     }
 
@@ -754,8 +758,8 @@
     }
 }
 
-TEST(Property, TheSameEventsGiveTheSameActions) {
-    const auto play = [] {
+TEST(Property, SameEventsProduceTheSameActions) {
+    const auto run = [] {
         std::string trace;
         Gateway g;
         g.list({server("r", "reader"), server("q", "reader"), server("v", "writer"), server("w", "writer")});
@@ -767,10 +771,10 @@
         }
         return trace;
     };
-    EXPECT_EQ(play(), play());
+    EXPECT_EQ(run(), run());
 }
 
-TEST(Robustness, UnknownAndRepeatedEventsPassWithoutEffect) {
+TEST(Robustness, UnknownAndRepeatedEventsHaveNoEffect) {
     Gateway g;
     g.list({});
     g.end(9, 0, "x", AttemptOutcome::ok);
@@ -780,9 +784,9 @@
     EXPECT_TRUE(g.last.empty());
 }
 
-// Guards against a read outside the group: once a keyed attempt may have run, each further attempt keeps to
-// its group, one at a prefill server too.
-TEST(Retries, PrefillsKeepToTheDeduplicationScopeToo) {
+// Guards against a prefill outside the deduplication scope: once an attempt of a keyed request may have run,
+// all further attempts stay within the scope, including prefills.
+TEST(Retries, PrefillsStayWithinTheDeduplicationScope) {
     auto s = plain_settings();
     s.max_attempts = 6;
     Gateway g(s);
@@ -795,13 +799,14 @@
     g.list({server("w2", "writer", "north")}, EndpointUpdateKind::delta);
     EXPECT_EQ(g.sent_to(), "w2");
     g.end(1, 2, "w2", AttemptOutcome::at_capacity, false,
-          true);  // the KV state is missing: to be prefilled again
+          true);  // the KV state is missing, so another prefill is needed
     EXPECT_EQ(g.sent_to(), "");
     g.list({server("r2", "reader", "north")}, EndpointUpdateKind::delta);
     EXPECT_EQ(g.sent_to(), "r2");
 }
 
-// Each request counts against its own tenant, by the exact name; a name without a share is beyond any.
+// Each request counts against the quota of its own tenant, by exact name. A name without a quota is over
+// quota.
 TEST(Tenants, AreDistinguishedByTheirExactNames) {
     auto s = plain_settings();
     s.tenants = {{"north", 1}, {"North", 1}};
@@ -819,8 +824,8 @@
     EXPECT_EQ(order, (std::vector<std::uint64_t>{1, 3, 2, 4, 5}));
 }
 
-// A gateway whose loop is behind rejects what is new, at once and with advice; what it has it goes on
-// with.
+// A gateway whose event loop lags behind rejects new requests at once, with Retry-After, and continues to
+// serve the requests that it holds.
 TEST(EventLoopLag, RejectsNewRequests) {
     for (const bool late : {false, true}) {
         Gateway g;
@@ -835,7 +840,7 @@
         ASSERT_EQ(g.all<SetTimer>().size(), 1U);
         g.now = g.all<SetTimer>()[0].at;
         g.step({TimerFired{g.all<SetTimer>()[0].id}, Gateway::request(3)});
-        EXPECT_TRUE(g.all<Reject>().empty());  // it has caught up
+        EXPECT_TRUE(g.all<Reject>().empty());  // the event loop has caught up
         g.list({server("r1", "reader"), server("w1", "writer")});
         EXPECT_EQ(g.all<Send>().size(), 2U);
     }
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -21,11 +21,11 @@
     return out;
 }
 
-// A warm server of the role has got work of 100 units just now, 12.5 a second over the averaging time. A
-// warming one gets 0.6 x 3 x 0.3 of that in the window of two seconds: 13.5.
+// A warm server of the role has just received 100 units of work, which is 12.5 per second over the averaging
+// time. The budget of a warming server is 0.6 x 3 x 0.3 of that in the window of two seconds: 13.5.
 struct Warming {
-    explicit Warming(int gateways = 1, double draw = 0) : slow_start(settings(gateways)) {
-        server.restart(kNow, draw);
+    explicit Warming(int gateways = 1, double first_request_delay = 0) : slow_start(settings(gateways)) {
+        server.restart(kNow, first_request_delay);
         slow_start.record_sent_to_warm(Role::decode, 100, kNow);
     }
     bool admits(double work, Duration elapsed = {}) {
@@ -37,7 +37,7 @@
     WarmUpState server;
 };
 
-TEST(SlowStart, BudgetIsAPartOfWhatAWarmServerGets) {
+TEST(SlowStart, BudgetIsAFractionOfAWarmServersWork) {
     Warming w;
     EXPECT_TRUE(w.admits(5));
     w.send(5);
@@ -46,23 +46,24 @@
     EXPECT_FALSE(w.admits(3.6));
 }
 
-TEST(SlowStart, WorkOlderThanTheWindowIsForgotten) {
+TEST(SlowStart, WorkOlderThanTheWindowDoesNotCount) {
     Warming w;
     w.send(13);
     EXPECT_FALSE(w.admits(1, 2s));
     EXPECT_TRUE(w.admits(1, 2s + kTick));
 }
 
-TEST(SlowStart, ABudgetUnderOneRequestBecomesOneInALongerWindowAfterADrawnWait) {
+TEST(SlowStart, ABudgetBelowOneRequestAllowsOneInALongerWindowAfterADelay) {
     Warming w(10, 0.5);
-    // Twice the budget, which fades as no work follows: half of a wait that grows from two seconds on.
+    // A request of twice the budget: its first request waits half of the maximum delay, which is two seconds
+    // and grows, as the estimated budget decays without new work.
     EXPECT_FALSE(w.admits(27, 1300ms));
     EXPECT_TRUE(w.admits(27, 1400ms));
 }
 
-TEST(SlowStart, RejectedWorkIsNotTakenForCapacity) {
+TEST(SlowStart, RejectedWorkDoesNotCountAsCapacity) {
     Warming w;
-    w.slow_start.take_back(Role::decode, 100);
+    w.slow_start.record_not_run(Role::decode, 100);
     w.send(1);
     EXPECT_FALSE(w.admits(1));
 }
--- a/tests/policy/tenant_quotas_test.cpp
+++ b/tests/policy/tenant_quotas_test.cpp
@@ -5,7 +5,7 @@
 namespace chalksail::policy {
 namespace {
 
-TEST(TenantQuotas, AGatewayHasItsPartOfTheQuotaAndOneSecondOfBurst) {
+TEST(TenantQuotas, AGatewayGrantsItsShareOfTheQuotaWithABurstOfOneSecond) {
     TenantQuotas quotas({{"a", 8}}, 4);
     EXPECT_TRUE(quotas.try_take("a"));
     EXPECT_TRUE(quotas.try_take("a"));
@@ -19,14 +19,14 @@
     EXPECT_FALSE(quotas.try_take("a"));
 }
 
-TEST(TenantQuotas, ASmallPartStillGrowsToOneRequest) {
+TEST(TenantQuotas, AShareBelowOneRequestPerSecondAccumulatesToOneRequest) {
     TenantQuotas quotas({{"a", 1}}, 10);
     EXPECT_FALSE(quotas.try_take("a"));
     quotas.refill(10.5);
     EXPECT_TRUE(quotas.try_take("a"));
 }
 
-TEST(TenantQuotas, UnknownTenantHasNoneUnlessThereAreNoTenants) {
+TEST(TenantQuotas, UnknownTenantHasNoQuotaUnlessNoTenantsAreConfigured) {
     EXPECT_FALSE(TenantQuotas({{"a", 8}}, 1).try_take("b"));
     EXPECT_TRUE(TenantQuotas({}, 1).try_take("b"));
 }
