--- a/adapter/host.cpp
+++ b/adapter/host.cpp
@@ -10,16 +10,17 @@
 namespace chalksail::wire {
 namespace {
 
-// A gateway of the bench, and the events of the current batch for it.
+// One gateway instance of the bench, and its events in the current batch.
 struct Instance {
     std::optional<Router> router;
     std::vector<Event> events;
 };
 
-// Owns the instances of one bench run.
+// Owns the gateway instances of one bench run.
 class Host {
 public:
-    // Handles one line; writes the reply when it ends a batch. Throws BadLine.
+    // Processes one line, and writes the reply if the line ends a batch. Throws BadLine if the line is
+    // invalid.
     void handle(Line line, std::ostream& out) {
         if (auto* begin = std::get_if<BatchBegins>(&line)) {
             if (open_) throw BadLine("field 'verb': begin_batch inside a batch");
--- a/adapter/host.hpp
+++ b/adapter/host.hpp
@@ -1,4 +1,4 @@
-// Hosts one Router for each instance named on the wire and answers batch by batch.
+// Runs one Router for each gateway instance of a bench run and replies to its batches of events.
 #pragma once
 
 #include <istream>
@@ -6,7 +6,7 @@
 
 namespace chalksail::wire {
 
-// Runs until the end of input. Returns 0, or 1 after one plain message on `errors`.
+// Processes lines until the end of input. Returns 0, or 1 after writing one error message to `errors`.
 int serve(std::istream& in, std::ostream& out, std::ostream& errors);
 
 }  // namespace chalksail::wire
--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -22,9 +22,9 @@
 using platform::row;
 using platform::word;
 
-RequestId ticket(const Json& line) { return {required<std::uint64_t>(line, "ticket")}; }
-ServerId server(const Json& line) { return {required<std::string>(line, "server")}; }
-AttemptId shot(const Json& line) { return {required<std::int64_t>(line, "shot")}; }
+RequestId request_id(const Json& line) { return {required<std::uint64_t>(line, "ticket")}; }
+ServerId server_id(const Json& line) { return {required<std::string>(line, "server")}; }
+AttemptId attempt_id(const Json& line) { return {required<std::int64_t>(line, "shot")}; }
 
 AttemptOutcome outcome(const Json& line) {
     static const std::map<std::int64_t, AttemptOutcome> codes = {
@@ -36,7 +36,7 @@
     return it->second;
 }
 
-EndpointUpdate list(const Json& line) {
+EndpointUpdate endpoint_update(const Json& line) {
     EndpointUpdate out;
     out.kind = word<EndpointUpdateKind>(line, "scope",
                                         {{"incr", EndpointUpdateKind::delta},
@@ -49,7 +49,7 @@
     for (const auto& item : entries->GetArray()) {
         if (!item.IsObject()) reject("nodes_list", "objects wanted");
         Endpoint e;
-        e.id = server(item);
+        e.id = server_id(item);
         e.state = word<EndpointState>(item, "state",
                                       {{"up", EndpointState::up},
                                        {"draining", EndpointState::draining},
@@ -64,9 +64,9 @@
     return out;
 }
 
-RequestArrived arrived(const Json& line) {
+RequestArrived request_arrived(const Json& line) {
     RequestArrived a;
-    a.id = ticket(line);
+    a.id = request_id(line);
     a.class_name = required<std::string>(line, "type");
     if (const Json* tenant = find(line, "client_group"); tenant && tenant->IsString())
         a.tenant = tenant->GetString();
@@ -85,13 +85,13 @@
 
 AttemptEnded attempt_ended(const Json& line) {
     AttemptEnded ended;
-    ended.id = ticket(line);
-    ended.attempt = shot(line);
-    ended.server = server(line);
+    ended.id = request_id(line);
+    ended.attempt = attempt_id(line);
+    ended.server = server_id(line);
     ended.outcome = outcome(line);
     ended.elapsed = optional<Duration>(line, "time_taken_ns");
     ended.request_finished = optional<bool>(line, "no_more");
-    // The wire's "remark" means one thing with each outcome.
+    // The meaning of the wire's "remark" depends on the outcome.
     const auto remark = optional<double>(line, "remark");
     if (ended.outcome == AttemptOutcome::at_capacity) ended.kv_state_missing = remark == 1;
     else ended.cached_prompt_tokens = remark;
@@ -109,35 +109,35 @@
     const auto verb = required<std::string>(line, "verb");
     if (verb == "begin_batch") return BatchBegins{Time(required<Duration>(line, "now_ns"))};
     if (verb == "over_to_you") return BatchEnds{};
-    const auto who = required<std::string>(line, "who");
+    const auto instance = required<std::string>(line, "who");
     if (verb == "start")
-        return Started{who, required<std::uint64_t>(line, "init_seed"),
+        return Started{instance, required<std::uint64_t>(line, "init_seed"),
                        platform::read_settings(object(line, "options"))};
-    if (verb == "killed") return Killed{who};
-    if (verb == "backends_changed") return EventReceived{who, list(line)};
-    if (verb == "incoming") return EventReceived{who, arrived(line)};
+    if (verb == "killed") return Killed{instance};
+    if (verb == "backends_changed") return EventReceived{instance, endpoint_update(line)};
+    if (verb == "incoming") return EventReceived{instance, request_arrived(line)};
     if (verb == "headers")
-        return EventReceived{who, StreamStarted{ticket(line), shot(line), server(line),
-                                                optional<Duration>(line, "time_taken_ns")}};
-    if (verb == "reply") return EventReceived{who, attempt_ended(line)};
+        return EventReceived{instance, StreamStarted{request_id(line), attempt_id(line), server_id(line),
+                                                     optional<Duration>(line, "time_taken_ns")}};
+    if (verb == "reply") return EventReceived{instance, attempt_ended(line)};
     if (verb == "note")
-        return EventReceived{
-            who, ReservationResult{ticket(line), server(line), required<std::int64_t>(line, "kind") == 1}};
-    if (verb == "hangup") return EventReceived{who, ClientDisconnected{ticket(line)}};
-    if (verb == "due") return EventReceived{who, TimerFired{{required<std::uint64_t>(line, "name")}}};
+        return EventReceived{instance, ReservationResult{request_id(line), server_id(line),
+                                                         required<std::int64_t>(line, "kind") == 1}};
+    if (verb == "hangup") return EventReceived{instance, ClientDisconnected{request_id(line)}};
+    if (verb == "due") return EventReceived{instance, TimerFired{{required<std::uint64_t>(line, "name")}}};
     if (verb == "probe_done")
-        return EventReceived{
-            who, HealthCheckEnded{server(line), outcome(line), optional<Duration>(line, "time_taken_ns"),
-                                  row<double>(line, "report")}};
+        return EventReceived{instance, HealthCheckEnded{server_id(line), outcome(line),
+                                                        optional<Duration>(line, "time_taken_ns"),
+                                                        row<double>(line, "report")}};
     if (verb == "heard")
-        return EventReceived{
-            who, PeerMessage{required<std::int64_t>(line, "from"), required<std::string>(line, "bytes")}};
+        return EventReceived{instance, PeerMessage{required<std::int64_t>(line, "from"),
+                                                   required<std::string>(line, "bytes")}};
     reject("verb", "unknown verb");
 }
 
 namespace {
 
-// Writes one action as a line of JSON; the visitor of `Action`.
+// Writes one action as a line of JSON. A visitor of `Action`.
 class ActionWriter {
 public:
     explicit ActionWriter(const std::string& instance) : instance_(instance) {}
@@ -190,7 +190,7 @@
         writer_.Bool(a.enabled);
     }
 
-    // The line, once the action has been written.
+    // Returns the line, after the action has been written.
     [[nodiscard]] std::string finish() {
         writer_.EndObject();
         return buffer_.GetString();
--- a/adapter/wire.hpp
+++ b/adapter/wire.hpp
@@ -1,5 +1,5 @@
-// The bench's wire: its lines of JSON to and from the library's types. Makes no decisions; no I/O, no
-// threads.
+// The bench's wire format: converts between its lines of JSON and the library's types. Makes no decisions and
+// uses neither I/O nor threads.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -11,22 +11,22 @@
 
 namespace chalksail::wire {
 
-// A malformed line; the text names the field.
+// Thrown for a malformed line; the message names the field.
 using BadLine = platform::BadField;
 
 // Begins a batch of events, all at the time `now`.
 struct BatchBegins {
     Time now;
 };
-// Ends a batch: the adapter replies with the actions.
+// Ends a batch. The adapter replies with the actions.
 struct BatchEnds {};
-// A gateway instance starts with a router of its own.
+// A gateway instance has started, and needs a router of its own.
 struct Started {
     std::string instance;
     std::uint64_t seed = 0;
     Settings settings;
 };
-// A gateway instance ends without notice.
+// A gateway instance has been killed without notice.
 struct Killed {
     std::string instance;
 };
@@ -37,9 +37,9 @@
 };
 using Line = std::variant<BatchBegins, BatchEnds, Started, Killed, EventReceived>;
 
-// Throws BadLine.
+// Parses one line. Throws BadLine if it is malformed.
 [[nodiscard]] Line parse(const std::string& text);
-// One action of the instance's router, as a line without its end.
+// Formats one action of the instance's router as a line without a line break.
 [[nodiscard]] std::string format(const std::string& instance, const Action& action);
 // The line that ends a reply.
 inline constexpr std::string_view kReplyEnd = R"({"verb":"eor"})";
--- a/bench/policy_bench.cpp
+++ b/bench/policy_bench.cpp
@@ -1,5 +1,5 @@
-// What a step of the module costs at full size while requests are held: 324 gateways, 100 servers, one step
-// with nothing new. `held`: more requests than there is room for; `out`: all have been sent.
+// Measures one step of the router without events, with 324 gateways, 100 servers and many tracked requests.
+// In `held`, requests exceed the capacity and wait at the gateway; in `out`, all of them have been sent.
 //
 //   build/bin/chalksail-policy-bench
 #include <benchmark/benchmark.h>
@@ -13,15 +13,15 @@
 
 namespace {
 
-Settings fleet_settings(bool room) {
+Settings fleet_settings(bool has_capacity) {
     Settings s;
     RequestClassSettings c;
     c.name = "talk";
     c.first_token_objective = 1s;
-    c.deadline = 1h;  // nothing is given up while it is measured
+    c.deadline = 1h;  // no request ends during the measurement
     c.inter_token_objective = 50ms;
     s.classes = {c};
-    s.kinds = {{"reader", Role::prefill, 200'000}, {"writer", Role::decode, room ? 1e9 : 100'000}};
+    s.kinds = {{"reader", Role::prefill, 200'000}, {"writer", Role::decode, has_capacity ? 1e9 : 100'000}};
     s.zone = "north";
     s.gateways = 324;
     s.tick = 2ms;
@@ -31,7 +31,7 @@
     return s;
 }
 
-EndpointUpdate list_of(int servers) {
+EndpointUpdate endpoint_list(int servers) {
     EndpointUpdate out;
     const std::vector<std::string> zones = {"north", "south", "east"};
     for (int i = 0; i < servers; ++i) {
@@ -45,10 +45,10 @@
     return out;
 }
 
-void step(benchmark::State& state, bool room) {
-    Router router(fleet_settings(room), 1);
+void step(benchmark::State& state, bool has_capacity) {
+    Router router(fleet_settings(has_capacity), 1);
     Time now{10s};
-    (void)router.step(now, std::vector<Event>{list_of(100)});
+    (void)router.step(now, std::vector<Event>{endpoint_list(100)});
     for (std::uint64_t id = 1; id <= static_cast<std::uint64_t>(state.range(0)); ++id) {
         RequestArrived a;
         a.id = {id};
--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -1,5 +1,4 @@
-// The smallest embedding: one gateway, one prefill server, one decode server, one request from arrival to its
-// end.
+// A minimal embedding: one gateway with one prefill server and one decode server serves one request.
 #include <chalksail/chalksail.hpp>
 #include <iostream>
 
@@ -21,7 +20,7 @@
 
     Router router(settings, 1);
     Time now(1s);
-    const auto play = [&](const std::vector<Event>& events) {
+    const auto step = [&](const std::vector<Event>& events) {
         std::string server;
         for (const auto& action : router.step(now, events))
             if (const auto* send = std::get_if<Send>(&action)) server = send->server.value;
@@ -35,7 +34,7 @@
     list.endpoints[0].kind = "prefill";
     list.endpoints[1].id = {"decode-1"};
     list.endpoints[1].kind = "decode";
-    play({list});
+    step({list});
 
     RequestArrived request;
     request.id = {1};
@@ -43,11 +42,11 @@
     request.session = "s1";
     request.time_remaining = 5s;
     request.prompt_tokens = 1200;
-    const auto prefill_server = play({request});
-    const auto decode_server = play(
+    const auto prefill_server = step({request});
+    const auto decode_server = step(
         {AttemptEnded{{1}, {0}, {prefill_server}, AttemptOutcome::prefilled, 20ms, false, false, 0, {}}});
-    play({StreamStarted{{1}, {1}, {decode_server}, 20ms}});
-    play({AttemptEnded{{1}, {1}, {decode_server}, AttemptOutcome::ok, 40ms, true, false, 0, {}}});
+    step({StreamStarted{{1}, {1}, {decode_server}, 20ms}});
+    step({AttemptEnded{{1}, {1}, {decode_server}, AttemptOutcome::ok, 40ms, true, false, 0, {}}});
 
     std::cout << "prefill at " << prefill_server << ", decode at " << decode_server
               << ", still tracked: " << router.tracked_requests() << '\n';
--- a/tests/adapter/adapter_test.cpp
+++ b/tests/adapter/adapter_test.cpp
@@ -30,20 +30,20 @@
     return {code, out.str(), errors.str()};
 }
 
-TEST(Adapter, EmptyBatchAndEndOfInput) {
+TEST(Adapter, EmptyBatchGetsAnEmptyReply) {
     const auto r = run({kBegin, kEnd});
     EXPECT_EQ(r.code, 0);
     EXPECT_EQ(r.out, "{\"verb\":\"eor\"}\n");
 }
 
-TEST(Adapter, SendsARequestToTheReader) {
+TEST(Adapter, SendsARequestToThePrefillServer) {
     const auto r = run({kBegin, kStart, kList, kIncoming, kEnd});
     EXPECT_EQ(r.code, 0) << r.errors;
     EXPECT_NE(r.out.find(R"({"verb":"relay","who":"gateway_0","ticket":5)"), std::string::npos) << r.out;
     EXPECT_NE(r.out.find(R"("server":"10.0.0.1:1")"), std::string::npos) << r.out;
 }
 
-TEST(Adapter, KilledAndStartedInOneBatchKnowsNothing) {
+TEST(Adapter, RestartWithinABatchResetsTheInstance) {
     const auto r =
         run({kBegin, kStart, kList, R"({"verb":"killed","who":"gateway_0"})", kStart, kIncoming, kEnd});
     EXPECT_EQ(r.code, 0) << r.errors;
