--- a/include/chalksail/chalksail.hpp
+++ b/include/chalksail/chalksail.hpp
@@ -63,8 +63,8 @@
 
 struct RequestClassSettings {
     std::string name;
-    Duration first_token_objective{};                  // latency objective of the first token,
-    Duration first_token_objective_per_1000_tokens{};  // plus this for each 1,000 prompt tokens
+    Duration first_token_objective{};                  // latency objective of the first token
+    Duration first_token_objective_per_1000_tokens{};  // added to it for each 1,000 prompt tokens
     Duration inter_token_objective{};  // latency objective of the mean interval between tokens
     Duration deadline{};
     Idempotency idempotency = Idempotency::idempotent;
@@ -95,8 +95,8 @@
     Duration release_within{};               // a KV state must be fetched or released within this time
     Duration slow_start_duration{};          // how long a started server warms up
     double slow_start_initial_capacity = 1;  // fraction of the full capacity at the start
-    double slow_start_overload_factor = 1;   // a warming server fails above its capacity times this ...
-    Duration slow_start_overload_window{};   // ... over this window
+    double slow_start_overload_factor = 1;   // load at which a warming server fails, relative to its capacity
+    Duration slow_start_overload_window{};   // time over which this load is measured
     Duration dial_timeout{};
     Duration max_retry_after{};  // 0: clients ignore Retry-After
     Duration poll_within{};      // maximum time until the endpoint list has to be polled
@@ -175,7 +175,7 @@
     connect_failed,
     reset,
     cancelled,
-    not_sent,  // withdrawn before its first byte
+    not_sent,  // cancelled before its first byte was sent
     prefilled  // a prefill attempt succeeded and left its KV state
 };
 struct AttemptEnded {
@@ -218,7 +218,7 @@
     ServerId server;
     bool reporting = false;
 };
-// A message from another gateway. The module ignores these, and sends none.
+// A message from another gateway. The module ignores such messages and sends none.
 struct PeerMessage {
     std::int64_t from = 0;
     std::string hex;
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -30,7 +30,8 @@
     prefill_share_.add(request.share_of_objective(elapsed));
 }
 
-bool Admission::rejects(const Request& request, bool has_decode_server, const StepContext& context) const {
+bool Admission::should_reject(const Request& request, bool has_decode_server,
+                              const StepContext& context) const {
     const Time now = context.now;
     if (now + latencies_.service_time(request) + kAnswerMarginTicks * settings_.tick >= request.deadline)
         return true;
@@ -38,7 +39,7 @@
     if (retry_policy_.attempts_left(request.history) < attempts_needed) return true;
     // After the objective, the request does not wait for a decode server to enter service.
     if (now >= request.objective && !has_decode_server) return true;
-    return context.sparse_observations && sheds(request, now);
+    return context.sparse_observations && should_shed(request, now);
 }
 
 // Requests with a KV state come first, as it must be released within a time limit; then by urgency, then by
@@ -72,7 +73,7 @@
 
 // In an overload each gateway admits a fraction of the arriving requests, weighted by urgency. It rejects the
 // others, and held requests that would miss their objective.
-bool Admission::sheds(const Request& request, Time now) const {
+bool Admission::should_shed(const Request& request, Time now) const {
     const double admitted = kPrefillQueueFraction / std::max(kPrefillQueueFraction, prefill_share_.mean());
     if (admitted >= 1 || request.kv_state_server) return false;
     if (!RetryPolicy::may_reject(*request.class_settings, request.history)) return false;
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -28,8 +28,8 @@
 
     // Returns whether to answer the request now because it can no longer be served in time, or because it is
     // shed.
-    [[nodiscard]] bool rejects(const Request& request, bool has_decode_server,
-                               const StepContext& context) const;
+    [[nodiscard]] bool should_reject(const Request& request, bool has_decode_server,
+                                     const StepContext& context) const;
     // Sorts held requests into the order in which they are to be served.
     void sort(std::vector<Request*>& held, Time now) const;
     // Returns whether prefills queue for so long that gateways shed load. Always false without sparse
@@ -39,7 +39,7 @@
 private:
     // Returns the priority weight per unit of work if the request starts now.
     [[nodiscard]] double urgency(const Request& request, Time now) const;
-    [[nodiscard]] bool sheds(const Request& request, Time now) const;
+    [[nodiscard]] bool should_shed(const Request& request, Time now) const;
 
     const Settings& settings_;
     std::string seed_;
--- a/src/policy/candidate_set.cpp
+++ b/src/policy/candidate_set.cpp
@@ -34,7 +34,7 @@
     if (!server.in_service() || !has_slow_start_budget(server, class_index)) return false;
     if (server.health.in_good_standing()) return true;
     return outliers_.admits(server.health, settings_.classes[class_index].idempotency,
-                            summary().has_healthy(server.role), now_);
+                            summary().has_healthy_server(server.role), now_);
 }
 
 bool CandidateSet::has_slow_start_budget(const Server& server, std::size_t class_index) {
--- a/src/policy/fleet_summary.cpp
+++ b/src/policy/fleet_summary.cpp
@@ -17,7 +17,7 @@
     if (!health.ejected()) decode_memory_ += memory_tokens * (warming_up ? initial_capacity_ : 1);
 }
 
-bool FleetSummary::has_healthy(Role role) const {
+bool FleetSummary::has_healthy_server(Role role) const {
     return healthy_[index(role)] + (role == Role::mixed ? 0 : healthy_[index(Role::mixed)]) > 0;
 }
 
--- a/src/policy/fleet_summary.hpp
+++ b/src/policy/fleet_summary.hpp
@@ -24,7 +24,7 @@
     // Returns the number of servers of exactly this role that are not warming up.
     [[nodiscard]] std::int64_t warm(Role role) const { return warm_[index(role)]; }
     // Returns whether a server in good standing can do the work of this role.
-    [[nodiscard]] bool has_healthy(Role role) const;
+    [[nodiscard]] bool has_healthy_server(Role role) const;
     // Returns whether a decode or mixed server is in service.
     [[nodiscard]] bool has_decode_server() const { return decode_servers_ > 0; }
     // Returns the memory of decode and mixed servers that are not ejected, in tokens. A warming server counts
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -29,13 +29,13 @@
       // An ejection lasts no longer than the warm-up of a restarted server.
       longest_ejection_(std::max(shortest_objective_, settings.slow_start_duration)) {}
 
-bool OutlierDetection::admits(const ServerHealth& server, Idempotency idempotency, bool role_has_healthy,
-                              Time now) const {
+bool OutlierDetection::admits(const ServerHealth& server, Idempotency idempotency,
+                              bool role_has_healthy_server, Time now) const {
     if (server.in_good_standing()) return true;
     if (server.trial_open_ && idempotency == Idempotency::idempotent) return true;
     // If no server is healthy, the server is used at a limited rate; otherwise fast failures would soon use
     // up all attempts of every request.
-    return !role_has_healthy && now >= server.last_sent_ + shortest_objective_ / kSendsPerObjective;
+    return !role_has_healthy_server && now >= server.last_sent_ + shortest_objective_ / kSendsPerObjective;
 }
 
 void OutlierDetection::restart(const ServerId& id, ServerHealth& server) {
--- a/src/policy/outlier_detection.hpp
+++ b/src/policy/outlier_detection.hpp
@@ -53,10 +53,10 @@
     // Returns the servers that are ejected or on trial, ordered by id.
     [[nodiscard]] const std::set<ServerId>& unhealthy_servers() const { return unhealthy_; }
 
-    // Returns whether the server may receive a request now. `role_has_healthy` tells whether a server in good
-    // standing can do the same work.
-    [[nodiscard]] bool admits(const ServerHealth& server, Idempotency idempotency, bool role_has_healthy,
-                              Time now) const;
+    // Returns whether the server may receive a request now. `role_has_healthy_server` tells whether a server
+    // in good standing can do the same work.
+    [[nodiscard]] bool admits(const ServerHealth& server, Idempotency idempotency,
+                              bool role_has_healthy_server, Time now) const;
 
     void restart(const ServerId& id, ServerHealth& server);  // for a new server process
     void forget(const ServerId& id) { unhealthy_.erase(id); }
@@ -87,8 +87,8 @@
     Duration longest_ejection_;
     std::set<ServerId> unhealthy_;
     std::uint64_t version_ = 0;
-    bool health_checks_queue_ =
-        false;  // health checks queue behind requests: a late one only shows that the server is busy
+    // Health checks queue behind requests, so that a late one only shows that the server is busy.
+    bool health_checks_queue_ = false;
 };
 
 }  // namespace chalksail::policy
--- a/src/policy/request_table.cpp
+++ b/src/policy/request_table.cpp
@@ -12,8 +12,8 @@
 constexpr double kLastBucketEdge = 1e9;
 constexpr double kMinTokenIntervalSeconds = 1e-3;  // avoids a division by zero
 constexpr double kOutputTokenWork = 25;            // work of one output token, in prompt tokens
-constexpr double kRequestSizeSmoothing =
-    0.02;  // weight of an arrival in the typical size; small, to avoid flapping
+// Weight of an arrival in the typical request size; small, so that the size does not fluctuate.
+constexpr double kRequestSizeSmoothing = 0.02;
 constexpr double kMinObjectiveSeconds = 1e-3;  // avoids a division by zero
 
 // Returns the upper edge of the bucket that contains the estimate, limited to the client's maximum.
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -197,7 +197,7 @@
     const bool has_decode_server = summary().has_decode_server();
     for (auto it = requests_.all().begin(); it != requests_.all().end();) {
         Request& request = (it++)->second;  // reject_or_fail() erases the request
-        if (request.held() && admission_.rejects(request, has_decode_server, context))
+        if (request.held() && admission_.should_reject(request, has_decode_server, context))
             reject_or_fail(request);
     }
 }
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -1,4 +1,4 @@
-// Validates that the settings are consistent, for the code that reads them and for the router.
+// Checks the consistency of the settings, for the router and for the code that reads settings files.
 #include <chalksail/chalksail.hpp>
 #include <stdexcept>
 
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -8,8 +8,8 @@
 namespace chalksail::policy {
 namespace {
 
-constexpr double kBudgetFraction =
-    0.6;  // of the budget that is used; the rest is for bursts of other gateways
+// Fraction of the budget that is used; the rest absorbs bursts from other gateways.
+constexpr double kBudgetFraction = 0.6;
 constexpr double kAveragingWindows = 4;  // averaging time of the work sent to warm servers, in windows
 constexpr double kMinWork = 1e-9;        // avoids a division by zero; far below one token
 
--- a/tests/policy/counted_fleet_test.cpp
+++ b/tests/policy/counted_fleet_test.cpp
@@ -17,7 +17,7 @@
 // Serves requests at warm servers, so that slow start has an estimate of their capacity.
 void serve_many(Gateway& g, std::uint64_t first, int count) {
     for (std::uint64_t id = first; id < first + static_cast<std::uint64_t>(count); ++id) {
-        g.pass(20ms);
+        g.advance(20ms);
         g.arrive(id);
         const auto reader = g.sent_to();
         g.end(id, 0, reader, AttemptOutcome::prefilled);
@@ -46,7 +46,7 @@
     const auto arrive_alone = [&](std::uint64_t id) {
         auto request = Gateway::request(id);
         request.prefix.clear();  // ties go by session
-        g.pass(4ms);
+        g.advance(4ms);
         g.step({request});
         return g.sent_to();
     };
@@ -69,7 +69,7 @@
     g.list({reader}, EndpointUpdateKind::delta);
     g.arrive(1);
     EXPECT_TRUE(g.all<Reject>().empty());
-    g.pass(1001ms);  // its objective
+    g.advance(1001ms);  // its objective
     g.step();
     EXPECT_EQ(g.all<Reject>().size(), 1U);
 }
@@ -93,7 +93,7 @@
     const auto prefilled_at = [&](std::uint64_t id) {
         auto request = Gateway::request(id);
         request.prefix = prefix;
-        g.pass(20ms);
+        g.advance(20ms);
         g.step({request});
         return g.sent_to();
     };
--- a/tests/policy/fixture.hpp
+++ b/tests/policy/fixture.hpp
@@ -74,13 +74,15 @@
                              EndpointUpdateKind scope = EndpointUpdateKind::snapshot) {
         return step({EndpointUpdate{scope, std::move(entries)}});
     }
-    std::vector<Action> arrive(std::uint64_t id, const std::string& cls = "talk", double prompt = 1000) {
-        return step({request(id, cls, prompt)});
+    std::vector<Action> arrive(std::uint64_t id, const std::string& class_name = "talk",
+                               double prompt = 1000) {
+        return step({request(id, class_name, prompt)});
     }
-    static RequestArrived request(std::uint64_t id, const std::string& cls = "talk", double prompt = 1000) {
+    static RequestArrived request(std::uint64_t id, const std::string& class_name = "talk",
+                                  double prompt = 1000) {
         RequestArrived a;
         a.id = {id};
-        a.class_name = cls;
+        a.class_name = class_name;
         a.session = "s" + std::to_string(id);
         a.prefix = "p";
         a.time_remaining = 4s;
@@ -97,7 +99,7 @@
     std::vector<Action> begin_stream(std::uint64_t id, int attempt, const std::string& at) {
         return step({StreamStarted{{id}, {attempt}, {at}, 20ms}});
     }
-    void pass(Duration d) { now += d; }
+    void advance(Duration elapsed) { now += elapsed; }
 
     template <class A>
     [[nodiscard]] std::vector<A> all() const {
--- a/tests/policy/fleet_summary_test.cpp
+++ b/tests/policy/fleet_summary_test.cpp
@@ -51,8 +51,8 @@
     fleet.eject("ejected");
     EXPECT_EQ(fleet.summary().warm(Role::prefill), 1);
     EXPECT_EQ(fleet.summary().warm(Role::decode), 2);
-    EXPECT_TRUE(fleet.summary().has_healthy(Role::decode));
-    EXPECT_FALSE(fleet.summary().has_healthy(Role::mixed));
+    EXPECT_TRUE(fleet.summary().has_healthy_server(Role::decode));
+    EXPECT_FALSE(fleet.summary().has_healthy_server(Role::mixed));
     EXPECT_TRUE(fleet.summary().has_decode_server());
     EXPECT_DOUBLE_EQ(fleet.summary().decode_memory(), 100 + 40);
 }
@@ -76,9 +76,9 @@
 TEST(FleetSummary, MixedServersAreHealthyForEachRole) {
     Fleet fleet;
     fleet.list("m", "mixed");
-    EXPECT_TRUE(fleet.summary().has_healthy(Role::prefill));
-    EXPECT_TRUE(fleet.summary().has_healthy(Role::decode));
-    EXPECT_TRUE(fleet.summary().has_healthy(Role::mixed));
+    EXPECT_TRUE(fleet.summary().has_healthy_server(Role::prefill));
+    EXPECT_TRUE(fleet.summary().has_healthy_server(Role::decode));
+    EXPECT_TRUE(fleet.summary().has_healthy_server(Role::mixed));
     EXPECT_EQ(fleet.summary().warm(Role::decode), 0);
 }
 
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -30,7 +30,7 @@
 }
 // Serves one request to its end. Returns its prefill server and its decode server.
 std::pair<std::string, std::string> serve(Gateway& g, std::uint64_t id) {
-    g.pass(1s);
+    g.advance(1s);
     g.arrive(id);
     const auto reader = g.sent_to();
     g.end(id, 0, reader, AttemptOutcome::prefilled);
@@ -47,7 +47,7 @@
         auto warming = server("r", "reader");
         warming.started_at = g.now - 1s;
         g.list({warming, server("w", "writer")});
-        g.pass(2s);
+        g.advance(2s);
         g.arrive(1);
         sent += g.sent_to().empty() ? 0 : 1;
     }
@@ -198,20 +198,20 @@
     Gateway g(settings);
     g.list(fleet(8, 4));
     std::uint64_t id = 0;
-    const auto prefill_servers_of_usual_prompts = [&](double usual, double every_tenth) {
+    const auto prefill_servers_of_typical_prompts = [&](double typical, double every_tenth) {
         std::set<std::string> readers;
         for (int i = 0; i < 300; ++i) {
-            g.pass(2s);
-            g.arrive(++id, "talk", i % 10 == 9 ? every_tenth : usual);
+            g.advance(2s);
+            g.arrive(++id, "talk", i % 10 == 9 ? every_tenth : typical);
             const auto reader = g.sent_to();
             g.end(id, 0, reader, AttemptOutcome::prefilled, true);
             if (i >= 200 && i % 10 != 9) readers.insert(reader);
         }
         return readers.size();
     };
-    EXPECT_EQ(prefill_servers_of_usual_prompts(1000, 60'000), 1U);  // by prefix: enough observations
-    EXPECT_GE(prefill_servers_of_usual_prompts(8000, 8000), 4U);    // by session: sparse observations
-    EXPECT_EQ(prefill_servers_of_usual_prompts(1000, 1000), 1U);    // and back
+    EXPECT_EQ(prefill_servers_of_typical_prompts(1000, 60'000), 1U);  // by prefix: enough observations
+    EXPECT_GE(prefill_servers_of_typical_prompts(8000, 8000), 4U);    // by session: sparse observations
+    EXPECT_EQ(prefill_servers_of_typical_prompts(1000, 1000), 1U);    // and back
 }
 
 TEST(Fleet, AZoneWithFewPrefillServersSharesItsPrefills) {
@@ -240,7 +240,7 @@
         g.list(list);
         for (int i = 0; i < 30; ++i) {
             const auto id = static_cast<std::uint64_t>(1000 * seed + i);
-            g.pass(1s);
+            g.advance(1s);
             g.arrive(id);
             const auto reader = g.sent_to();
             g.step({AttemptEnded{{id},
@@ -285,17 +285,17 @@
         Gateway g(one_of_many());
         g.list({server("r", "reader"), server("w", "writer")});
         g.arrive(1);
-        g.pass(150ms);
+        g.advance(150ms);
         g.step();
         ASSERT_EQ(g.all<HealthCheck>().size(), 1U);
         EXPECT_TRUE(g.all<CancelAttempt>().empty());
-        g.pass(10ms);
+        g.advance(10ms);
         g.step({HealthCheckEnded{{"r"}, answered ? AttemptOutcome::ok : AttemptOutcome::timeout, 2ms, {}}});
         EXPECT_EQ(g.all<CancelAttempt>().empty(), answered);
-        g.pass(600ms);
+        g.advance(600ms);
         g.step();
         EXPECT_TRUE(g.all<CancelAttempt>().empty());  // busy: the timeout is longer
-        g.pass(1200ms);
+        g.advance(1200ms);
         g.step();
         EXPECT_EQ(g.all<CancelAttempt>().empty(), !answered);  // but not unlimited
     }
@@ -306,7 +306,7 @@
     g.list({server("r", "reader"), server("w", "writer")});
     g.step({HealthCheckEnded{{"w"}, AttemptOutcome::ok, 200ms, {}}});
     g.arrive(1);
-    g.pass(150ms);
+    g.advance(150ms);
     g.step();
     g.step({HealthCheckEnded{{"r"}, AttemptOutcome::timeout, 250ms, {}}});
     EXPECT_TRUE(g.all<CancelAttempt>().empty());
@@ -316,7 +316,7 @@
     Gateway g(one_of_many());
     g.list(fleet(8, 8));
     for (std::uint64_t id = 1; id <= 20; ++id) {
-        g.pass(1s);
+        g.advance(1s);
         g.arrive(id);
         const auto reader = g.sent_to();
         if (reader.empty()) continue;
@@ -328,7 +328,7 @@
     }
     std::size_t admitted = 0, rejected = 0;
     for (std::uint64_t id = 100; id < 160; ++id) {
-        g.pass(2s);
+        g.advance(2s);
         g.arrive(id);
         admitted += g.all<Send>().size();
         rejected += g.all<Reject>().size();
@@ -351,7 +351,7 @@
     g.list(fleet(8, 8));
     std::uint64_t id = 0;
     const auto offer = [&](const std::string& session, double prompt) {
-        g.pass(200ms);
+        g.advance(200ms);
         auto request = Gateway::request(++id, "talk", prompt);
         request.session = session;
         g.step({request});
@@ -388,27 +388,27 @@
 // Lfcc8ee: prefill servers were filled with prefills that could no longer meet their objective, which made
 // all others late, too.
 TEST(Fleet, InAnOverloadAPrefillPastItsObjectiveIsCancelledAndRejected) {
-    for (const Duration usual : {Duration{1500ms}, Duration{20ms}}) {
+    for (const Duration prefill_time : {Duration{1500ms}, Duration{20ms}}) {
         Gateway g(one_of_many());
         g.list(fleet(1, 1));
         std::uint64_t id = 1;
         for (int i = 0; i < 40; ++i, ++id) {
-            g.pass(1s);
+            g.advance(1s);
             g.arrive(id);
             const auto reader = g.sent_to();
             if (reader.empty()) continue;
-            g.step(
-                {AttemptEnded{{id}, {0}, {reader}, AttemptOutcome::prefilled, usual, false, false, 0, {}}});
+            g.step({AttemptEnded{
+                {id}, {0}, {reader}, AttemptOutcome::prefilled, prefill_time, false, false, 0, {}}});
             g.end(id, 1, g.sent_to(), AttemptOutcome::at_capacity, true);
         }
-        for (; g.sent_to().empty(); g.arrive(++id)) g.pass(1s);
-        g.pass(200ms);
+        for (; g.sent_to().empty(); g.arrive(++id)) g.advance(1s);
+        g.advance(200ms);
         g.step();
         g.step({HealthCheckEnded{{"rnorth00"}, AttemptOutcome::ok, 2ms, {}}});
-        g.pass(850ms);
+        g.advance(850ms);
         g.step();
-        ASSERT_EQ(g.all<CancelAttempt>().empty(), usual == Duration{20ms});
-        if (usual == Duration{20ms}) continue;
+        ASSERT_EQ(g.all<CancelAttempt>().empty(), prefill_time == Duration{20ms});
+        if (prefill_time == Duration{20ms}) continue;
         g.end(id, 0, "rnorth00", AttemptOutcome::cancelled);
         EXPECT_EQ(g.all<Reject>().size(), 1U);
         EXPECT_TRUE(g.all<Send>().empty());
@@ -421,10 +421,10 @@
         g.list(fleet(12, 12));
         std::uint64_t id = 1;
         for (int i = 0; i < rejections_at_capacity; ++i, ++id) {
-            g.pass(10ms);
+            g.advance(10ms);
             g.arrive(id);
             g.end(id, 0, g.sent_to(), AttemptOutcome::prefilled);
-            g.pass(10ms);
+            g.advance(10ms);
             g.end(id, 1, g.sent_to(), AttemptOutcome::at_capacity, true);
         }
         std::size_t sent = 0;
--- a/tests/policy/router_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -116,7 +116,7 @@
     EXPECT_EQ(g.all<ReleaseKvState>().size(), 0U);
     const Time ended = g.now;
     while (g.all<ReleaseKvState>().empty() && g.now < ended + 1s) {
-        g.pass(4ms);
+        g.advance(4ms);
         g.step();
     }
     EXPECT_LT(g.now - ended, 400ms);
@@ -132,7 +132,7 @@
     for (int attempt = 1; attempt <= 2; ++attempt) {  // a third would be allowed
         EXPECT_EQ(g.all<ReleaseKvState>().size(), 0U);
         const auto at = g.sent_to();
-        g.pass(250ms);
+        g.advance(250ms);
         g.end(1, attempt, at, AttemptOutcome::connect_failed);
     }
     EXPECT_EQ(g.all<ReleaseKvState>().size(), 1U);
@@ -152,10 +152,10 @@
         removed.state = EndpointState::removed;
         g.list({removed}, EndpointUpdateKind::delta);  // no decode server is left
         const Time held = g.now;
-        g.pass(300ms);
+        g.advance(300ms);
         g.end(1, 1, "w", outcome);
         while (g.all<ReleaseKvState>().empty() && g.now < held + 2s) {
-            g.pass(4ms);
+            g.advance(4ms);
             g.step();
         }
         // An answer proves that the attempt reached the server, which restarts the release time.
@@ -172,7 +172,7 @@
     g.arrive(1);
     const Time start = g.now;
     while (g.all<Reject>().empty() && g.now < start + 5s) {
-        g.pass(4ms);
+        g.advance(4ms);
         g.step();
     }
     EXPECT_LT(g.now - start, 4s);
@@ -185,7 +185,7 @@
     Gateway g;
     g.list({server("w", "writer")});  // no prefill server, and it may not prefill
     g.arrive(1);
-    g.pass(4s - 6ms);
+    g.advance(4s - 6ms);
     g.step();
     EXPECT_EQ(g.all<Reject>().size(), 1U);
     EXPECT_EQ(g.all<Fail>().size(), 0U);
@@ -198,7 +198,7 @@
     g.arrive(1);
     const Time start = g.now;
     while (g.all<Reject>().empty() && g.now < start + 5s) {
-        g.pass(4ms);
+        g.advance(4ms);
         g.step();
     }
     EXPECT_LE(g.now - start, plain_settings().classes[0].first_token_objective + 8ms);
@@ -234,7 +234,7 @@
         g.list({server("r", "reader"), server("w", "writer")});
         std::uint64_t id = 1;
         for (; rejections_at_capacity > 0; --rejections_at_capacity, ++id) {
-            g.pass(1s);
+            g.advance(1s);
             g.arrive(id);
             g.end(id, 0, "r", AttemptOutcome::prefilled);
             g.end(id, 1, "w", AttemptOutcome::at_capacity);
@@ -256,10 +256,10 @@
         g.list({server("r", "reader"), server("w", "writer")});
         std::uint64_t id = 1;
         for (; id <= 3; ++id) {
-            g.pass(2s);
+            g.advance(2s);
             g.arrive(id);
             g.end(id, 0, "r", AttemptOutcome::prefilled);
-            g.pass(first_token);
+            g.advance(first_token);
             g.step({StreamStarted{{id}, {1}, {"w"}, first_token}});
             g.end(id, 1, "w", AttemptOutcome::ok, true);
         }
@@ -285,7 +285,7 @@
     g.end(1, 1, "w", AttemptOutcome::ok, true, 0, {40, 0.99});
     g.arrive(2);
     EXPECT_EQ(g.sent_to(), "");  // held before its prefill
-    g.pass(3500ms);
+    g.advance(3500ms);
     g.step();  // no request was sent there, so there is no newer report
     g.arrive(3);
     EXPECT_EQ(g.sent_to(), "r");
@@ -316,7 +316,7 @@
         g.arrive(2);
         std::size_t cancelled = 0;
         for (int i = 0; i < 10; ++i) {
-            g.pass(100ms);
+            g.advance(100ms);
             if (busy) {
                 g.arrive(static_cast<std::uint64_t>(100 + i));
                 g.end(static_cast<std::uint64_t>(100 + i), 0, "r", AttemptOutcome::prefilled);
@@ -336,10 +336,10 @@
     g.end(1, 0, "r", AttemptOutcome::prefilled);
     for (int attempt = 1; attempt <= 3 && !g.sent_to().empty(); ++attempt) {
         g.end(1, attempt, g.sent_to(), AttemptOutcome::connect_failed);
-        g.pass(4ms);
+        g.advance(4ms);
     }
     EXPECT_TRUE(g.all<Reject>().empty());  // one attempt is left, to be sent later
-    g.pass(250ms);
+    g.advance(250ms);
     g.step();
     EXPECT_FALSE(g.sent_to().empty());
 }
@@ -452,7 +452,7 @@
         for (std::uint64_t id = 1; id <= 4; ++id) {
             g.step({Gateway::request(id, "talk", 3000)});
             const auto at = g.sent_to();
-            g.pass(900ms);
+            g.advance(900ms);
             g.step({AttemptEnded{{id}, {0}, {at}, AttemptOutcome::prefilled, 900ms, true, false, 0, {}}});
         }
         auto a = Gateway::request(10, "talk", 3000);
@@ -472,7 +472,7 @@
         if (drains) continue;
         const Time from = g.now;
         while (g.sent_to().empty() && g.now < from + 3s) {
-            g.pass(4ms);
+            g.advance(4ms);
             g.step();
         }
         EXPECT_EQ(g.sent_to(), other);  // the maximum wait is over
@@ -489,10 +489,10 @@
     g.list({q, server("r", "reader"), server("w", "writer")});
     auto a = Gateway::request(1, "talk", 10'000);
     a.cached_prefixes = {{{"q"}, 10'000}};
-    g.pass(30s);
+    g.advance(30s);
     Gateway plain;
     plain.list({q, server("r", "reader"), server("w", "writer")});
-    plain.pass(30s);
+    plain.advance(30s);
     g.step({a});
     a.cached_prefixes.clear();
     plain.step({a});
@@ -556,7 +556,7 @@
     ASSERT_NE(good, bad);
     g.arrive(2);
     EXPECT_EQ(g.sent_to(), good);
-    g.pass(1100ms);
+    g.advance(1100ms);
     g.step();
     ASSERT_EQ(g.all<HealthCheck>().size(), 1U);
     EXPECT_EQ(g.all<HealthCheck>()[0].server.value, bad);
@@ -610,7 +610,7 @@
         check(gateway_.list(list));
     }
     void one_tick(bool arrivals) {
-        gateway_.pass(settings_.tick);
+        gateway_.advance(settings_.tick);
         std::vector<Event> events;
         if (arrivals && roll(3) == 0) {
             const auto cls = static_cast<std::size_t>(roll(3));
