--- a/tests/net/tls_socket_test.cpp
+++ b/tests/net/tls_socket_test.cpp
@@ -1,4 +1,4 @@
-// Verified TLS from the edge to engines, on real sockets.
+// Verified TLS between the edge and its engines, and TLS of the listener, on real sockets.
 #include <filesystem>
 #include <fstream>
 
@@ -8,7 +8,7 @@
 namespace chalksail::net::testing {
 namespace {
 
-// An engine behind TLS; counts what reaches it in the clear of its tunnel.
+// An engine with TLS that counts the decrypted requests.
 class TlsEngine : HttpServer::Handler {
 public:
     TlsEngine(uv_loop_t& loop, std::shared_ptr<tls::Context> context)
@@ -19,14 +19,14 @@
     HttpServer server;
     Address address;
     int requests = 0;
-    bool hold = false;  // keeps the first stream open until finish()
+    bool hold = false;  // Keeps the first stream open until finish()
     HttpServer::Peer held = 0;
     void finish() {
         server.stream(held, "data: [DONE]\n\n");
         server.end_stream(held);
         server.flush();
     }
-    bool cut = false;  // breaks off after the first chunk, without close_notify
+    bool cut = false;  // Resets the connection after the first chunk, without close_notify
 
 private:
     void on_request(HttpServer::Peer peer, http::Request request) override {
@@ -81,7 +81,7 @@
     }
     config::EdgeSettings settings(const TlsEngine& read, const TlsEngine& written) {
         const std::string tls =
-            "tls { name \"{name}.lekki.example.org\"; trust \"" + (folder / "ca.pem").string() + "\"; }";
+            "tls { name \"{name}.servers.example.org\"; trust \"" + (folder / "ca.pem").string() + "\"; }";
         const std::string text = R"(name "t"
             seed 1
             class "once" { when model="once"; aim "1s"; deadline "5s"; effect "once"; }
@@ -117,32 +117,31 @@
 };
 
 TEST_F(TlsRig, ServesThroughVerifiedEngines) {
-    begin(engine("prefill-1.lekki.example.org"), engine("decode-7.lekki.example.org"));
+    begin(engine("prefill-1.servers.example.org"), engine("decode-7.servers.example.org"));
     EXPECT_TRUE(served());
     EXPECT_TRUE(served());
     const auto page = metrics();
     EXPECT_NE(page.find("chalksail_tls_handshakes{gateway=\"t\"} 2\n"), std::string::npos)
-        << page;  // kept connections
+        << page;  // the second request reuses the connections
     EXPECT_NE(page.find("chalksail_tls_valid_seconds_w"), std::string::npos);
 }
 
-// A server that presents another name is refused: not one byte of a request reaches it, and nothing goes in
-// the clear.
-TEST_F(TlsRig, AnotherNameGetsNoByteOfARequest) {
-    TlsEngine& wrong = engine("decode-8.lekki.example.org");
-    begin(engine("prefill-1.lekki.example.org"), wrong);
+// A server whose certificate has a different name is refused and receives no byte of a request.
+TEST_F(TlsRig, ServerWithADifferentNameGetsNoByteOfARequest) {
+    TlsEngine& wrong = engine("decode-8.servers.example.org");
+    begin(engine("prefill-1.servers.example.org"), wrong);
     RawClient& c = client();
     c.send(post("once"));
-    // Proved not to have run: refused, harmless to try again, although the class must not run twice.
+    // The request can't have run, so the client may retry it although its class must not run twice.
     ASSERT_TRUE(until([&] { return c.got().find("HTTP/1.1 503") != std::string::npos; })) << c.got();
     EXPECT_EQ(wrong.requests, 0);
     EXPECT_GT(wrong.server.counts().accepted, 0U);
 }
 
-TEST_F(TlsRig, ServerInTheClearIsRefused) {
+TEST_F(TlsRig, ServerWithoutTlsIsRefused) {
     int bytes = 0;
     writer = std::make_unique<RawServer>(loop, [&](RawServer::Peer&) { ++bytes; });
-    TlsEngine& read = engine("prefill-1.lekki.example.org");
+    TlsEngine& read = engine("prefill-1.servers.example.org");
     auto s = settings(read, read);
     s.servers[1].address = writer->address;
     log = std::make_unique<observe::Log>("t", "error");
@@ -153,21 +152,21 @@
     EXPECT_EQ(bytes, 0);
 }
 
-TEST_F(TlsRig, CutWithoutCloseNotifyIsNoEnd) {
-    TlsEngine& written = engine("decode-7.lekki.example.org");
+TEST_F(TlsRig, CloseWithoutCloseNotifyDoesNotEndAStream) {
+    TlsEngine& written = engine("decode-7.servers.example.org");
     written.cut = true;
-    begin(engine("prefill-1.lekki.example.org"), written);
+    begin(engine("prefill-1.servers.example.org"), written);
     RawClient& c = client();
     c.send(post("m"));
     ASSERT_TRUE(until([&] { return c.got().find("\"error\"") != std::string::npos; })) << c.got();
     EXPECT_EQ(c.got().find("[DONE]"), std::string::npos);
 }
 
-// Files are replaced in service: a good set is used by new connections, a bad one is refused and the last
-// good one stays; a stream under way goes on over all of it.
-TEST_F(TlsRig, FilesAreReplacedInServiceAndBadOnesRefused) {
-    TlsEngine& read = engine("prefill-1.lekki.example.org");
-    TlsEngine& written = engine("decode-7.lekki.example.org");
+// Files are replaced in service: new connections use valid files; invalid ones are refused and the last valid
+// ones stay in use. An open stream continues throughout.
+TEST_F(TlsRig, FilesAreReplacedInServiceAndInvalidOnesRefused) {
+    TlsEngine& read = engine("prefill-1.servers.example.org");
+    TlsEngine& written = engine("decode-7.servers.example.org");
     written.hold = true;
     begin(read, written);
     RawClient& c = client();
@@ -189,9 +188,9 @@
     EXPECT_TRUE(until([&] { return c.got().find("[DONE]") != std::string::npos; }));
 }
 
-// Two files can't be replaced in one step: whichever comes first, the set does not fit until the other is
-// there, and the last good one is used meanwhile.
-TEST_F(TlsRig, KeyBeforeCertificateAndTheReverse) {
+// Key and certificate can't be replaced in one step. Whichever is replaced first, the two don't match until
+// the other one follows; meanwhile the last valid pair is used.
+TEST_F(TlsRig, KeyReplacedBeforeCertificateAndTheReverse) {
     const auto make = [&] { return ca.issue({{"edge"}, {}, now - 10, now + 10'000, false, 0, 0}); };
     auto issued = make();
     write("edge.pem", issued.certificate);
@@ -205,10 +204,10 @@
         issued = make();
         write(key_first ? "edge.key" : "edge.pem", key_first ? issued.key : issued.certificate);
         EXPECT_EQ(certificate_reloader.poll(now), tls::CertificateReloader::PollResult::refused);
-        EXPECT_NE(certificate_reloader.error().find("do not fit"), std::string::npos)
+        EXPECT_NE(certificate_reloader.error().find("do not match"), std::string::npos)
             << certificate_reloader.error();
         EXPECT_EQ(certificate_reloader.poll(now),
-                  tls::CertificateReloader::PollResult::unchanged);  // said once
+                  tls::CertificateReloader::PollResult::unchanged);  // reported once
         EXPECT_EQ(certificate_reloader.context(), before);
         write(key_first ? "edge.pem" : "edge.key", key_first ? issued.certificate : issued.key);
         EXPECT_EQ(certificate_reloader.poll(now), tls::CertificateReloader::PollResult::replaced);
@@ -221,8 +220,8 @@
     EXPECT_NE(certificate_reloader.context(), nullptr);
 }
 
-// SessionCache outlive a bundle that grows, and none that loses a CA or gets another revocation list.
-TEST_F(TlsRig, NarrowerTrustForgetsSessions) {
+// Sessions survive a CA bundle that grows, but are dropped when a CA is removed.
+TEST_F(TlsRig, NarrowerTrustDropsSessions) {
     const auto path = [&](const char* name) { return (folder / name).string(); };
     const lab::Authority next("next", now - 10, now + 10'000);
     tls::CertificateReloader certificate_reloader(config::TlsConfig{"n", path("ca.pem"), "", "", ""});
@@ -247,10 +246,10 @@
     EXPECT_EQ(certificate_reloader.sessions().size(), 0U);
 }
 
-// A server that takes the connection and says nothing: proved not to have run, within the dial time-out.
-TEST_F(TlsRig, StalledHandshakeIsNoConnection) {
+// A server that accepts the connection and stays silent: the call fails within the dial time-out as not run.
+TEST_F(TlsRig, StalledHandshakeFailsWithinTheDialTimeOut) {
     writer = std::make_unique<RawServer>(loop, [](RawServer::Peer&) {});
-    TlsEngine& read = engine("prefill-1.lekki.example.org");
+    TlsEngine& read = engine("prefill-1.servers.example.org");
     auto s = settings(read, read);
     s.servers[1].address = writer->address;
     s.router.dial_timeout = 100ms;
@@ -263,10 +262,10 @@
     EXPECT_FALSE(writer->peers.empty());
 }
 
-// The wrong name, then the right one: out meanwhile, back by itself once it shows the right certificate.
-TEST_F(TlsRig, ServerIsBackOnceItProvesItsName) {
-    TlsEngine& wrong = engine("decode-8.lekki.example.org");
-    TlsEngine& read = engine("prefill-1.lekki.example.org");
+// A server with the wrong name is out of service until it presents the right certificate.
+TEST_F(TlsRig, ServerReturnsOnceItsCertificateMatches) {
+    TlsEngine& wrong = engine("decode-8.servers.example.org");
+    TlsEngine& read = engine("prefill-1.servers.example.org");
     auto s = settings(read, wrong);
     s.limits.unverified_backoff = 10ms;
     s.limits.unverified_backoff_max = 20ms;
@@ -278,18 +277,18 @@
     const auto trials = wrong.server.counts().handshakes_failed;
     ASSERT_TRUE(until([&] { return wrong.server.counts().handshakes_failed > trials + 2; }));
     EXPECT_EQ(wrong.requests, 0);
-    const auto issued = ca.issue({{"decode-7.lekki.example.org"}, {}, now - 10, now + 10'000, true, 0, 0});
+    const auto issued = ca.issue({{"decode-7.servers.example.org"}, {}, now - 10, now + 10'000, true, 0, 0});
     wrong.server.set_tls(*tls::Context::server({"", "", issued.certificate, issued.key}, now));
     ASSERT_TRUE(until([&] { return edge->gauges().unverified_servers == 0; }));
     ASSERT_TRUE(until([&] { return served(); }));
     EXPECT_GT(wrong.requests, 0);
 }
 
-// Many requests at once to a server that has just come: no more handshakes side by side than allowed, all
-// are served, and what waits takes connections that become free.
-TEST_F(TlsRig, StormOfHandshakesPassesTheGate) {
-    TlsEngine& read = engine("prefill-1.lekki.example.org");
-    TlsEngine& written = engine("decode-7.lekki.example.org");
+// Many simultaneous requests to new servers: concurrent handshakes stay within the limit, all requests are
+// served, and waiting ones reuse connections that become idle.
+TEST_F(TlsRig, ManyRequestsShareFewHandshakes) {
+    TlsEngine& read = engine("prefill-1.servers.example.org");
+    TlsEngine& written = engine("decode-7.servers.example.org");
     auto s = settings(read, written);
     s.limits.handshakes_per_server = 1;
     s.limits.handshakes = 2;
@@ -312,7 +311,7 @@
 
 // ---- the listener ----
 
-// Connects to the edge through the pool, as any client with TLS.
+// A TLS client that connects through the pool.
 struct PoolClient : UpstreamPool::Handler {
     std::string got;
     int status = 0;
@@ -324,7 +323,7 @@
     void on_failed(UpstreamPool::Call, engine::ExchangeEnd, std::string detail) override { failed = detail; }
 };
 
-TEST_F(TlsRig, ListenerShowsTheRequestedCertificateAndReplacesIt) {
+TEST_F(TlsRig, ListenerPresentsTheRequestedCertificateAndReplacesIt) {
     const auto put = [&](const std::string& file, const std::string& name) {
         const auto issued = ca.issue({{name}, {}, now - 10, now + 10'000, true, 0, 0});
         write(file + ".pem", issued.certificate);
@@ -332,8 +331,8 @@
     };
     put("a", "api.example.org");
     put("b", "*.tenants.example.org");
-    TlsEngine& one = engine("prefill-1.lekki.example.org");
-    auto s = settings(one, engine("decode-7.lekki.example.org"));
+    TlsEngine& one = engine("prefill-1.servers.example.org");
+    auto s = settings(one, engine("decode-7.servers.example.org"));
     const auto path = [&](const char* name) { return (folder / name).string(); };
     s.listener_tls =
         config::ListenerTls{{{path("a.pem"), path("a.key")}, {path("b.pem"), path("b.key")}}, ""};
@@ -356,21 +355,21 @@
         return c.done && c.got.find("[DONE]") != std::string::npos ? std::string("served") : c.failed;
     };
     EXPECT_EQ(send_request("api.example.org"), "served");
-    EXPECT_EQ(send_request("buns.tenants.example.org"), "served");
+    EXPECT_EQ(send_request("acme.tenants.example.org"), "served");
     EXPECT_NE(send_request("other.example.org").find("not verified"), std::string::npos);
     put("a", "new.example.org");
     edge->reload_tls();
     EXPECT_EQ(send_request("new.example.org"), "served");
     write("a.key", "nonsense");
     edge->reload_tls();
-    EXPECT_EQ(send_request("new.example.org"), "served");  // the last good ones
+    EXPECT_EQ(send_request("new.example.org"), "served");  // the last valid files
     RawClient& plain = client();
     plain.send(post("m"));
     EXPECT_TRUE(until([&] { return plain.closed(); }));
     EXPECT_EQ(plain.got().find("HTTP/1.1 200"), std::string::npos);
 }
 
-// Ends each connection behind its first response.
+// Closes each connection after its first response.
 struct ClosingHandler : HttpServer::Handler {
     HttpServer* server = nullptr;
     void on_request(HttpServer::Peer peer, http::Request) override {
@@ -382,9 +381,9 @@
     void on_closed(HttpServer::Peer, const ConnectionEnd&) override {}
 };
 
-// Guards against a closed connection that stays among the idle ones: the next sweep would look for it in
-// vain.
-TEST_F(TlsRig, ConnectionThatEndsBehindItsResponseIsForgotten) {
+// Guards against a closed connection that stays in the list of idle ones, where the next sweep would look it
+// up in vain.
+TEST_F(TlsRig, ConnectionClosedAfterItsResponseIsRemoved) {
     ServerLimits limits;
     limits.idle_connections.linger = std::chrono::milliseconds(1);
     ClosingHandler handler;
@@ -399,12 +398,12 @@
     to.tls_name = "api.example.org";
     pool.start(1, to, {"GET", "/", {}, {}});
     EXPECT_TRUE(until([&] { return c.done && server.counts().connections == 0; }));
-    // Two sweeps of the server and more.
+    // Longer than two sweep intervals of the server.
     const Time later = uv_now_time() + std::chrono::milliseconds(600);
     EXPECT_TRUE(until([&] { return uv_now_time() > later; }));
 }
 
-TEST_F(TlsRig, BadFilesAreRefusedAtTheStart) {
+TEST_F(TlsRig, InvalidFilesAreRefusedAtTheStart) {
     TlsEngine& one = engine("x");
     const auto s = settings(one, one);
     write("ca.pem", "half a certifi");
--- a/tests/net/tls_test.cpp
+++ b/tests/net/tls_test.cpp
@@ -1,4 +1,4 @@
-// The TLS filter, both ends in memory: what is refused, what is resumed, and any cut of the bytes.
+// The TLS filter with both ends in memory: verification, session resumption, and input in parts of any size.
 #include <gtest/gtest.h>
 #include <openssl/ssl.h>
 
@@ -12,7 +12,7 @@
 
 constexpr std::int64_t kNow = 1'800'000'000;
 constexpr std::int64_t kDay = 86'400;
-const std::string kName = "decode-7.lekki.example.org";
+const std::string kName = "decode-7.servers.example.org";
 
 lab::CertificateWish good_wish() { return {{kName}, {"127.0.0.1"}, kNow - kDay, kNow + kDay, true, 0, 0}; }
 
@@ -24,34 +24,35 @@
         if (!out) throw std::runtime_error(out.error());
         return *out;
     }
-    // `now` for the server's own checks of its files, so that bad ones can be served.
+    // `now` is the time of the server's checks of its own certificate, so that an invalid one can be
+    // presented.
     static std::shared_ptr<Context> server_context(const lab::Issued& issued, std::int64_t now = kNow) {
         auto out = Context::server({"", "", issued.certificate, issued.key}, now);
         if (!out) throw std::runtime_error(out.error());
         return *out;
     }
 
-    struct Talk {
+    struct Exchange {
         std::string client_got, server_got;
         std::unique_ptr<Fault> client_fault, server_fault;
         bool client_connected = false, client_ended = false;
     };
-    // Carries bytes between the two until nothing moves; `cut` bytes at a time, 0: as they come.
-    static void carry(Filter& client, Filter& server, Step from_client, Step from_server, Talk& talk,
-                      std::size_t cut = 0) {
+    // Passes bytes between the two until none are left, `cut` bytes at a time; 0 means all at once.
+    static void transfer(Filter& client, Filter& server, Step from_client, Step from_server,
+                         Exchange& exchange, std::size_t cut = 0) {
         const auto take = [](Step& step, std::string& got, std::unique_ptr<Fault>& fault) {
             got += step.plaintext;
             if (step.fault && !fault) fault = std::move(step.fault);
         };
         std::string to_server, to_client;
         const auto of_client = [&](Step step) {
-            take(step, talk.client_got, talk.client_fault);
-            talk.client_connected = talk.client_connected || step.connected;
-            talk.client_ended = talk.client_ended || step.ended;
+            take(step, exchange.client_got, exchange.client_fault);
+            exchange.client_connected = exchange.client_connected || step.connected;
+            exchange.client_ended = exchange.client_ended || step.ended;
             to_server += step.to_peer;
         };
         const auto of_server = [&](Step step) {
-            take(step, talk.server_got, talk.server_fault);
+            take(step, exchange.server_got, exchange.server_fault);
             to_client += step.to_peer;
         };
         of_client(std::move(from_client));
@@ -67,25 +68,25 @@
             if (!to_client.empty()) of_client(client.from_peer(part(to_client)));
         }
     }
-    // A handshake, a question and an answer.
-    static Talk talk(Filter& client, Filter& server, std::size_t cut = 0) {
-        Talk out;
+    // Performs a handshake, a request and a response.
+    static Exchange exchange_messages(Filter& client, Filter& server, std::size_t cut = 0) {
+        Exchange out;
         Step first = client.start();
         Step question = client.send("question");
         first.to_peer += question.to_peer;
-        carry(client, server, std::move(first), {}, out, cut);
-        if (out.server_got == "question") carry(client, server, {}, server.send("answer"), out, cut);
+        transfer(client, server, std::move(first), {}, out, cut);
+        if (out.server_got == "question") transfer(client, server, {}, server.send("answer"), out, cut);
         return out;
     }
-    Talk try_server(const std::shared_ptr<Context>& server, const std::string& name = kName,
-                    SessionCache* sessions = nullptr, std::int64_t now = kNow,
-                    std::shared_ptr<Context> context = nullptr) {
+    Exchange try_server(const std::shared_ptr<Context>& server, const std::string& name = kName,
+                        SessionCache* sessions = nullptr, std::int64_t now = kNow,
+                        std::shared_ptr<Context> context = nullptr) {
         client = Filter::client(context ? context : client_context(), name, sessions, now);
         peer = Filter::server(server, now);
-        return talk(*client, *peer);
+        return exchange_messages(*client, *peer);
     }
-    // Refused, and not one byte of the request had gone out.
-    void expect_refused(const Talk& t, FaultKind kind = FaultKind::verification) {
+    // Expects that the server was refused before any byte of the request was sent.
+    void expect_refused(const Exchange& t, FaultKind kind = FaultKind::verification) {
         ASSERT_NE(t.client_fault, nullptr);
         EXPECT_EQ(t.client_fault->kind, kind) << t.client_fault->text;
         EXPECT_FALSE(t.client_connected);
@@ -96,7 +97,7 @@
     std::unique_ptr<Filter> client, peer;
 };
 
-TEST_F(Tls, VerifiedAndPrefersThePresent) {
+TEST_F(Tls, VerifiesTheServerAndPrefersTls13) {
     const auto t = try_server(server_context(ca.issue(good_wish())));
     EXPECT_EQ(t.server_got, "question");
     EXPECT_EQ(t.client_got, "answer");
@@ -107,44 +108,44 @@
     EXPECT_FALSE(facts.resumed);
 }
 
-TEST_F(Tls, AnyCutOfTheBytesIsTheSame) {
+TEST_F(Tls, AcceptsInputInPartsOfAnySize) {
     const auto context = server_context(ca.issue(good_wish()));
     for (const std::size_t cut : {1U, 2U, 3U, 5U, 100U}) {
         auto c = Filter::client(client_context(), kName, nullptr, kNow);
         auto s = Filter::server(context, kNow);
-        const auto t = talk(*c, *s, cut);
+        const auto t = exchange_messages(*c, *s, cut);
         EXPECT_EQ(t.client_got, "answer") << cut;
     }
 }
 
-TEST_F(Tls, OneByteARecord) {
+TEST_F(Tls, RecordsOfOneByte) {
     (void)try_server(server_context(ca.issue(good_wish())));
-    Talk t;
+    Exchange t;
     std::string wanted;
     for (int i = 0; i < 500; ++i) {
         const std::string one(1, static_cast<char>('a' + i % 26));
         wanted += one;
-        carry(*client, *peer, {}, peer->send(one), t);
+        transfer(*client, *peer, {}, peer->send(one), t);
     }
     EXPECT_EQ(t.client_got, wanted);
 }
 
 TEST_F(Tls, LargeStreamsBothWays) {
     (void)try_server(server_context(ca.issue(good_wish())));
-    Talk t;
+    Exchange t;
     const std::string big(3'000'000, 'x');
-    carry(*client, *peer, client->send(big), peer->send(big), t);
+    transfer(*client, *peer, client->send(big), peer->send(big), t);
     EXPECT_EQ(t.client_got.size(), big.size());
     EXPECT_EQ(t.server_got.size(), big.size());
 }
 
 // ---- names ----
 
-TEST_F(Tls, AnotherNameIsRefused) {
-    expect_refused(try_server(server_context(ca.issue(good_wish())), "decode-8.lekki.example.org"));
+TEST_F(Tls, DifferentNameIsRefused) {
+    expect_refused(try_server(server_context(ca.issue(good_wish())), "decode-8.servers.example.org"));
 }
 
-TEST_F(Tls, NamesByTheRules) {
+TEST_F(Tls, NamesMatchByRfc6125) {
     const auto connects = [&](const std::vector<std::string>& names,
                               const std::vector<std::string>& addresses, const std::string& wanted) {
         auto wish = good_wish();
@@ -152,23 +153,23 @@
         wish.addresses = addresses;
         return try_server(server_context(ca.issue(wish)), wanted).client_connected;
     };
-    EXPECT_TRUE(connects({"*.lekki.example.org"}, {}, kName));
-    EXPECT_FALSE(connects({"*.example.org"}, {}, kName));               // a wildcard is one label
-    EXPECT_FALSE(connects({"decode-*.lekki.example.org"}, {}, kName));  // and a whole one
+    EXPECT_TRUE(connects({"*.servers.example.org"}, {}, kName));
+    EXPECT_FALSE(connects({"*.example.org"}, {}, kName));                 // a wildcard matches one label
+    EXPECT_FALSE(connects({"decode-*.servers.example.org"}, {}, kName));  // and only a whole label
     EXPECT_FALSE(connects({"*"}, {}, kName));
-    EXPECT_FALSE(connects({}, {}, "stand-in"));  // the common name does not count
-    EXPECT_TRUE(connects({"DECODE-7.Lekki.Example.ORG"}, {}, kName));
+    EXPECT_FALSE(connects({}, {}, "stand-in"));  // the common name is ignored
+    EXPECT_TRUE(connects({"DECODE-7.Servers.Example.ORG"}, {}, kName));
     EXPECT_TRUE(connects({}, {"10.0.0.7"}, "10.0.0.7"));
     EXPECT_FALSE(connects({}, {"10.0.0.7"}, "10.0.0.8"));
-    EXPECT_FALSE(connects({"10.0.0.7"}, {}, "10.0.0.7"));  // an address is proved as an address
+    EXPECT_FALSE(connects({"10.0.0.7"}, {}, "10.0.0.7"));  // an IP address needs a SAN of type iPAddress
     EXPECT_TRUE(connects({}, {"::1"}, "::1"));
 }
 
 // ---- certificates ----
 
-TEST_F(Tls, NamesThatCheckNothingAreRefused) {
+TEST_F(Tls, NamesThatCannotBeVerifiedAreRefused) {
     for (const std::string& name : {std::string(), std::string(".example.org"), std::string(".org"),
-                                    std::string("a\0b", 3), std::string("*.lekki.example.org")}) {
+                                    std::string("a\0b", 3), std::string("*.servers.example.org")}) {
         auto c = Filter::client(client_context(), name, nullptr, kNow);
         const auto step = c->start();
         ASSERT_NE(step.fault, nullptr) << name;
@@ -178,26 +179,26 @@
     }
 }
 
-TEST_F(Tls, SelfSignedAndUnknownAuthorities) {
+TEST_F(Tls, SelfSignedAndUnknownAuthoritiesAreRefused) {
     expect_refused(try_server(server_context(lab::Authority::self_signed(good_wish()))));
-    lab::Authority other("test", kNow - kDay, kNow + kDay);  // of the same name
+    lab::Authority other("test", kNow - kDay, kNow + kDay);  // a different CA with the same name
     expect_refused(try_server(server_context(other.issue(good_wish()))));
 }
 
-TEST_F(Tls, TimesCount) {
+TEST_F(Tls, ValidityPeriodIsChecked) {
     auto wish = good_wish();
     wish.until = kNow - 1;
     expect_refused(try_server(server_context(ca.issue(wish), kNow - 10)));
     wish = good_wish();
     wish.from = kNow + 100;
     expect_refused(try_server(server_context(ca.issue(wish), kNow + 200)));
-    // The same certificate, looked at later.
+    // The same certificate after it has expired.
     const auto context = server_context(ca.issue(good_wish()));
     EXPECT_TRUE(try_server(context).client_connected);
     expect_refused(try_server(context, kName, nullptr, kNow + 2 * kDay));
 }
 
-TEST_F(Tls, UsageCounts) {
+TEST_F(Tls, CertificateUsageIsChecked) {
     auto wish = good_wish();
     wish.for_servers = false;
     expect_refused(try_server(server_context(ca.issue(wish))));
@@ -211,7 +212,7 @@
     EXPECT_FALSE(Context::client({ca.certificate(), "", issued.certificate, issued.key}, kNow));
 }
 
-TEST_F(Tls, RevokedIsRefused) {
+TEST_F(Tls, RevokedCertificateIsRefused) {
     const auto issued = ca.issue(good_wish());
     const auto context = server_context(issued);
     const auto fresh = ca.revocation({}, kNow - kDay, kNow + kDay);
@@ -220,26 +221,27 @@
     expect_refused(try_server(context, kName, nullptr, kNow, client_context(with)));
 }
 
-TEST_F(Tls, EndlessChainIsRefused) {
+TEST_F(Tls, OversizedChainIsRefused) {
     auto wish = good_wish();
     wish.padding = 100'000;
     expect_refused(try_server(server_context(ca.issue(wish))), FaultKind::protocol);
 }
 
-TEST_F(Tls, MaterialIsCheckedWhole) {
+TEST_F(Tls, EachPartOfTheMaterialIsChecked) {
     const auto issued = ca.issue(good_wish()), other = ca.issue(good_wish());
     const auto error = [&](const Material& m) {
         const auto out = Context::client(m, kNow);
         return out ? std::string("good") : out.error();
     };
     EXPECT_EQ(error({ca.certificate(), "", issued.certificate, issued.key}), "good");
-    EXPECT_NE(error({ca.certificate(), "", issued.certificate, other.key}).find("do not fit"),
-              std::string::npos);  // one replaced before the other
+    EXPECT_NE(error({ca.certificate(), "", issued.certificate, other.key}).find("do not match"),
+              std::string::npos);  // only one of the two was replaced
     EXPECT_NE(error({"", "", "", ""}).find("trust"), std::string::npos);
     EXPECT_NE(error({ca.certificate().substr(0, 100), "", "", ""}).find("trust"),
-              std::string::npos);  // half written
+              std::string::npos);  // partly written
     EXPECT_NE(error({ca.certificate(), "junk", "", ""}).find("revocation"), std::string::npos);
-    EXPECT_NE(error({ca.certificate(), ca.revocation({}, kNow - 9, kNow - 1), "", ""}).find("time is over"),
+    EXPECT_NE(error({ca.certificate(), ca.revocation({}, kNow - 9, kNow - 1), "", ""})
+                  .find("nextUpdate has passed"),
               std::string::npos);
     EXPECT_NE(error({ca.certificate(), "", issued.certificate, issued.key.substr(0, 60)}).find("key"),
               std::string::npos);
@@ -252,7 +254,7 @@
               kNow + kDay);
 }
 
-TEST_F(Tls, ClientsAuthenticateWhereRequired) {
+TEST_F(Tls, ClientsAuthenticateIfRequired) {
     const auto issued = ca.issue(good_wish());
     const auto server = *Context::server({ca.certificate(), "", issued.certificate, issued.key}, kNow);
     EXPECT_EQ(try_server(server).server_got, "");  // no certificate
@@ -263,42 +265,42 @@
 
 // ---- sessions ----
 
-TEST_F(Tls, SessionsAreResumedOnceEach) {
+TEST_F(Tls, EachSessionIsResumedOnce) {
     const auto context = server_context(ca.issue(good_wish()));
-    const auto mine = client_context();
+    const auto reused_context = client_context();
     SessionCache sessions;
-    EXPECT_EQ(try_server(context, kName, &sessions, kNow, mine).client_got, "answer");
+    EXPECT_EQ(try_server(context, kName, &sessions, kNow, reused_context).client_got, "answer");
     EXPECT_FALSE(client->facts().resumed);
     const auto before = sessions.size();
     EXPECT_GT(before, 0U);
-    EXPECT_EQ(try_server(context, kName, &sessions, kNow, mine).client_got, "answer");
+    EXPECT_EQ(try_server(context, kName, &sessions, kNow, reused_context).client_got, "answer");
     EXPECT_TRUE(client->facts().resumed);
     const auto first = sessions.take(kName, kNow), second = sessions.take(kName, kNow);
-    EXPECT_NE(first.get(), second.get());  // none is given twice
+    EXPECT_NE(first.get(), second.get());  // no session is returned twice
 }
 
 TEST_F(Tls, RestartedServerCostsOneFullHandshakeAndNoError) {
     const auto issued = ca.issue(good_wish());
-    const auto mine = client_context();
+    const auto reused_context = client_context();
     SessionCache sessions;
-    (void)try_server(server_context(issued), kName, &sessions, kNow, mine);
-    EXPECT_EQ(try_server(server_context(issued), kName, &sessions, kNow, mine).client_got,
+    (void)try_server(server_context(issued), kName, &sessions, kNow, reused_context);
+    EXPECT_EQ(try_server(server_context(issued), kName, &sessions, kNow, reused_context).client_got,
               "answer");  // new ticket keys
     EXPECT_FALSE(client->facts().resumed);
 }
 
-TEST_F(Tls, TicketsStayWithTheirName) {
+TEST_F(Tls, TicketsAreUsedForTheirNameOnly) {
     auto wish = good_wish();
-    wish.names = {kName, "decode-8.lekki.example.org"};
+    wish.names = {kName, "decode-8.servers.example.org"};
     const auto context = server_context(ca.issue(wish));
-    const auto mine = client_context();
+    const auto reused_context = client_context();
     SessionCache sessions;
-    (void)try_server(context, kName, &sessions, kNow, mine);
-    (void)try_server(context, "decode-8.lekki.example.org", &sessions, kNow, mine);
+    (void)try_server(context, kName, &sessions, kNow, reused_context);
+    (void)try_server(context, "decode-8.servers.example.org", &sessions, kNow, reused_context);
     EXPECT_FALSE(client->facts().resumed);
 }
 
-TEST_F(Tls, SessionsAreBoundedAndAged) {
+TEST_F(Tls, SessionsAreBoundedAndExpire) {
     const auto context = server_context(ca.issue(good_wish()));
     SessionCache sessions({2, 3, 100});
     for (int i = 0; i < 10; ++i) (void)try_server(context, kName, &sessions);
@@ -311,46 +313,47 @@
     EXPECT_EQ(sessions.size(), 0U);
 }
 
-// ---- ends ----
+// ---- server certificates and ticket keys ----
 
-TEST_F(Tls, ServerShowsTheCertificateThatTheClientRequests) {
+TEST_F(Tls, ServerPresentsTheCertificateThatTheClientRequests) {
     const auto material = [&](const std::string& name) {
         const auto issued = ca.issue({{name}, {}, kNow - kDay, kNow + kDay, true, 0, 0});
         return Material{"", "", issued.certificate, issued.key};
     };
     const auto context = Context::server(
-        std::vector<Material>{material("kitchen.example.org"), material("*.stalls.example.org")}, kNow);
+        std::vector<Material>{material("api.example.org"), material("*.tenants.example.org")}, kNow);
     ASSERT_TRUE(context) << context.error();
     const auto taken = [&](const std::string& name) {
         const auto client = Filter::client(client_context(), name, nullptr, kNow);
         const auto server = Filter::server(*context, kNow);
-        Talk talk;
-        carry(*client, *server, client->start(), {}, talk);
-        return talk.client_connected;
+        Exchange exchange;
+        transfer(*client, *server, client->start(), {}, exchange);
+        return exchange.client_connected;
     };
-    EXPECT_TRUE(taken("kitchen.example.org"));
-    EXPECT_TRUE(taken("buns.stalls.example.org"));
-    EXPECT_FALSE(taken("a.b.stalls.example.org"));
-    EXPECT_FALSE(taken("elsewhere.example.org"));  // shown the first, and refused by the client
+    EXPECT_TRUE(taken("api.example.org"));
+    EXPECT_TRUE(taken("acme.tenants.example.org"));
+    EXPECT_FALSE(taken("a.b.tenants.example.org"));
+    EXPECT_FALSE(
+        taken("elsewhere.example.org"));  // the server presents the first one, which the client refuses
     auto bad = std::vector<Material>{material("a"), material("b")};
     bad[1].key = bad[0].key;
     const auto broken = Context::server(bad, kNow);
     ASSERT_FALSE(broken);
-    EXPECT_EQ(broken.error(), "certificate 2: key and certificate do not fit");
+    EXPECT_EQ(broken.error(), "certificate 2: key and certificate do not match");
 }
 
-TEST_F(Tls, SharedTicketKeysOutliveARestart) {
+TEST_F(Tls, TicketsWithSharedKeysSurviveARestart) {
     const auto issued = ca.issue(good_wish());
     const auto client = client_context();
     SessionCache sessions;
     const auto resumed = [&](const std::string& keys) {
-        const auto restarted = server_context(issued);  // a process of its own each time
+        const auto restarted = server_context(issued);  // a new context, as after a restart
         EXPECT_TRUE(restarted->set_ticket_keys(keys));
         const auto c = Filter::client(client, kName, &sessions, kNow);
         const auto s = Filter::server(restarted, kNow);
-        Talk talk;
-        carry(*c, *s, c->start(), {}, talk);
-        EXPECT_TRUE(talk.client_connected);
+        Exchange exchange;
+        transfer(*c, *s, c->start(), {}, exchange);
+        EXPECT_TRUE(exchange.client_connected);
         return c->resumed();
     };
     const std::string keys(Context::kTicketKeyBytes, 'k');
@@ -362,20 +365,24 @@
     EXPECT_FALSE(client->set_ticket_keys(keys));
 }
 
-TEST_F(Tls, OwnChainMustHoldTogether) {
+TEST_F(Tls, OwnChainMustBeConsistent) {
     const auto leaf = ca.issue(good_wish());
     lab::Authority stranger("stranger", kNow - kDay, kNow + kDay);
     EXPECT_TRUE(Context::server({"", "", leaf.certificate + ca.certificate(), leaf.key}, kNow));
     const auto broken = Context::server({"", "", leaf.certificate + stranger.certificate(), leaf.key}, kNow);
     ASSERT_FALSE(broken);
-    EXPECT_NE(broken.error().find("the chain breaks after"), std::string::npos) << broken.error();
+    EXPECT_NE(broken.error().find("the next certificate in the chain is not the issuer of"),
+              std::string::npos)
+        << broken.error();
 }
 
-TEST_F(Tls, ProperEndAndCut) {
+// ---- the end of a stream ----
+
+TEST_F(Tls, CloseNotifyEndsAStreamAndItsAbsenceIsAFault) {
     const auto context = server_context(ca.issue(good_wish()));
     (void)try_server(context);
-    Talk t;
-    carry(*client, *peer, {}, peer->close(), t);
+    Exchange t;
+    transfer(*client, *peer, {}, peer->close(), t);
     EXPECT_TRUE(t.client_ended);
     EXPECT_EQ(client->peer_closed().fault, nullptr);
     (void)try_server(context);
@@ -384,7 +391,7 @@
     EXPECT_EQ(cut.fault->kind, FaultKind::truncated);
 }
 
-TEST_F(Tls, CutInTheHandshakeIsAFault) {
+TEST_F(Tls, CloseDuringTheHandshakeIsAFault) {
     auto c = Filter::client(client_context(), kName, nullptr, kNow);
     (void)c->start();
     EXPECT_EQ(c->peer_closed().fault->kind, FaultKind::truncated);
@@ -395,7 +402,7 @@
     (void)try_server(context);
     EXPECT_EQ(client->from_peer(std::string("\x17\x03\x03\x00\x20", 5) + std::string(32, 'x')).fault->kind,
               FaultKind::protocol);
-    EXPECT_EQ(client->from_peer("more").plaintext, "");  // it is over
+    EXPECT_EQ(client->from_peer("more").plaintext, "");  // the stream has failed
     (void)try_server(context);
     Step bad = peer->from_peer(std::string("\x17\x03\x03\x00\x20", 5) + std::string(32, 'x'));
     ASSERT_NE(bad.fault, nullptr);
@@ -405,7 +412,7 @@
     EXPECT_EQ(plain->from_peer("HTTP/1.1 200 OK\r\n\r\n").fault->kind, FaultKind::protocol);
 }
 
-TEST_F(Tls, StallInAnyStepOfTheHandshakeSendsNothingOfTheRequest) {
+TEST_F(Tls, NoPartOfTheRequestIsSentWhileTheHandshakeIsIncomplete) {
     const auto context = server_context(ca.issue(good_wish()));
     auto whole = Filter::server(context, kNow);
     auto first = Filter::client(client_context(), kName, nullptr, kNow);
@@ -423,7 +430,7 @@
     }
 }
 
-// After each record of the server's flight, and before the first.
+// Sends an alert before the first record of the server's flight, and after each of them.
 TEST_F(Tls, AlertInAnyStepOfTheHandshakeIsAFault) {
     const std::string alert("\x15\x03\x03\x00\x02\x02\x28", 7);  // handshake_failure
     const auto context = server_context(ca.issue(good_wish()));
@@ -437,7 +444,7 @@
         for (std::size_t record = 0; record < steps; ++record)
             until += 5 + static_cast<unsigned char>(flight.at(until + 3)) * 256U +
                      static_cast<unsigned char>(flight.at(until + 4));
-        if (until >= flight.size()) break;  // it is whole: what follows is no longer the handshake
+        if (until >= flight.size()) break;  // the handshake is complete
         EXPECT_EQ(c->from_peer(flight.substr(0, until)).fault, nullptr);
         const auto step = c->from_peer(alert);
         ASSERT_NE(step.fault, nullptr) << "after " << until << " bytes";
@@ -456,18 +463,18 @@
     expect_refused(try_server(context), FaultKind::protocol);
 }
 
-TEST_F(Tls, TwelveIsTheFloorAndDoesNotRenegotiate) {
+TEST_F(Tls, Tls12IsAcceptedAndResumed) {
     const auto context = server_context(ca.issue(good_wish()));
     SSL_CTX_set_max_proto_version(context->raw(), TLS1_2_VERSION);
-    const auto mine = client_context();
+    const auto reused_context = client_context();
     SessionCache sessions;
-    EXPECT_EQ(try_server(context, kName, &sessions, kNow, mine).client_got, "answer");
+    EXPECT_EQ(try_server(context, kName, &sessions, kNow, reused_context).client_got, "answer");
     EXPECT_EQ(client->facts().protocol, "TLSv1.2");
-    (void)try_server(context, kName, &sessions, kNow, mine);
+    (void)try_server(context, kName, &sessions, kNow, reused_context);
     EXPECT_TRUE(client->facts().resumed);
 }
 
-// A server that asks to begin anew is told no, and gets no second handshake.
+// A server that requests renegotiation gets an alert and no second handshake.
 TEST_F(Tls, RenegotiationIsRefused) {
     const auto context = server_context(ca.issue(good_wish()));
     SSL_CTX_set_max_proto_version(context->raw(), TLS1_2_VERSION);
@@ -493,7 +500,7 @@
     }
     SSL_do_handshake(server);
     ASSERT_TRUE(c->connected());
-    const std::string finished = sent();  // the server's last, if any is left
+    const std::string finished = sent();  // the server's last handshake bytes, if any
     take(c->from_peer(finished).to_peer);
 
     ASSERT_EQ(SSL_renegotiate(server), 1);
@@ -503,43 +510,43 @@
     const auto answer = c->from_peer(asks);
     EXPECT_EQ(answer.plaintext, "");
     ASSERT_GT(answer.to_peer.size(), 5U);
-    EXPECT_EQ(answer.to_peer[0], '\x15');  // an alert, and no ClientHello
+    EXPECT_EQ(answer.to_peer[0], '\x15');  // an alert and not a ClientHello
     take(answer.to_peer);
     char byte = 0;
-    EXPECT_LE(SSL_read(server, &byte, 1), 0);  // the server is told so
+    EXPECT_LE(SSL_read(server, &byte, 1), 0);  // the server sees the refusal
     SSL_free(server);
 }
 
-// A certificate that runs out while streams are under way: they go on; a new handshake is refused, also one
-// that would resume; its follower is taken.
-TEST_F(Tls, CertificateThatRunsOutMidRun) {
+// When a certificate expires, open streams continue. New handshakes are refused, also with a resumable
+// session, until the server presents a new certificate.
+TEST_F(Tls, CertificateThatExpiresWhileStreamsAreOpen) {
     auto wish = good_wish();
     wish.until = kNow + 100;
     const auto old = server_context(ca.issue(wish));
-    const auto mine = client_context();
+    const auto reused_context = client_context();
     SessionCache sessions;
-    (void)try_server(old, kName, &sessions, kNow, mine);
-    const auto stream = std::move(client), far = std::move(peer);
+    (void)try_server(old, kName, &sessions, kNow, reused_context);
+    const auto stream = std::move(client), server_end = std::move(peer);
     ASSERT_GT(sessions.size(), 0U);
-    expect_refused(try_server(old, kName, &sessions, kNow + 100, mine), FaultKind::verification);
-    Talk t;
-    carry(*stream, *far, {}, far->send("still here"), t);
+    expect_refused(try_server(old, kName, &sessions, kNow + 100, reused_context), FaultKind::verification);
+    Exchange t;
+    transfer(*stream, *server_end, {}, server_end->send("still here"), t);
     EXPECT_EQ(t.client_got, "still here");
     const auto next = server_context(ca.issue(good_wish()));
-    EXPECT_EQ(try_server(next, kName, &sessions, kNow + 100, mine).client_got, "answer");
-    carry(*stream, *far, {}, far->send(", to the end"), t);
+    EXPECT_EQ(try_server(next, kName, &sessions, kNow + 100, reused_context).client_got, "answer");
+    transfer(*stream, *server_end, {}, server_end->send(", to the end"), t);
     EXPECT_EQ(t.client_got, "still here, to the end");
 }
 
-// A replaced context is used by what begins later; what is under way goes on with its own.
-TEST_F(Tls, ReplacedContextLeavesStreamsAlone) {
+// Open streams continue with their old context after it was replaced.
+TEST_F(Tls, ReplacedContextDoesNotAffectOpenStreams) {
     auto old = server_context(ca.issue(good_wish()));
     (void)try_server(old);
     old.reset();
     old = server_context(ca.issue(good_wish()));
-    Talk t;
-    carry(*client, *peer, client->send("more"), {}, t);
-    carry(*client, *peer, {}, peer->send("still here"), t);
+    Exchange t;
+    transfer(*client, *peer, client->send("more"), {}, t);
+    transfer(*client, *peer, {}, peer->send("still here"), t);
     EXPECT_EQ(t.server_got, "more");
     EXPECT_EQ(t.client_got, "still here");
 }
