--- a/tests/net/crossing_test.cpp
+++ b/tests/net/crossing_test.cpp
@@ -7,40 +7,40 @@
 
 // ---- clients' closes ----
 
-enum class Leaves { close, reset, half_close };
-void leave(DirectClient& client, Leaves how) {
+enum class ClientClose { close, reset, half_close };
+void close_client(DirectClient& client, ClientClose how) {
     switch (how) {
-        case Leaves::close: return client.close();
-        case Leaves::reset: return client.reset();
-        case Leaves::half_close: return client.half_close();
+        case ClientClose::close: return client.close();
+        case ClientClose::reset: return client.reset();
+        case ClientClose::half_close: return client.half_close();
     }
 }
 
-class ClientLeaves : public PlatformRig, public ::testing::WithParamInterface<Leaves> {};
-INSTANTIATE_TEST_SUITE_P(Kinds, ClientLeaves,
-                         ::testing::Values(Leaves::close, Leaves::reset, Leaves::half_close));
+class ClientCloses : public PlatformRig, public ::testing::WithParamInterface<ClientClose> {};
+INSTANTIATE_TEST_SUITE_P(Kinds, ClientCloses,
+                         ::testing::Values(ClientClose::close, ClientClose::reset, ClientClose::half_close));
 
 // Guards against an attempt for a client that closed right after its request: the loop reads the request in
-// one iteration and is told of the close in the next.
-TEST_P(ClientLeaves, RightAfterTheRequestOnANewConnection) {
+// one iteration and sees the close in the next.
+TEST_P(ClientCloses, RightAfterTheRequestOnANewConnection) {
     begin([](auto& p) { p.send(kStream); });
     ASSERT_TRUE(served("a0"));
     DirectClient disconnected(edge->address());
     disconnected.send(messages::post("a1"));
-    leave(disconnected, GetParam());
+    close_client(disconnected, GetParam());
     ASSERT_TRUE(served("a2"));  // a later request was served, so the first one was read
     EXPECT_EQ(reader->requests, 2);
     EXPECT_EQ(edge->gauges().open_requests, 0U);
 }
 
-TEST_P(ClientLeaves, RightAfterTheRequestOnAReusedConnection) {
+TEST_P(ClientCloses, RightAfterTheRequestOnAReusedConnection) {
     begin([](auto& p) { p.send(kStream); });
     DirectClient disconnected(edge->address());
     disconnected.send(messages::post("a0"));
     ASSERT_TRUE(until(
         [&] { return disconnected.read() && disconnected.got.find("0\r\n\r\n") != std::string::npos; }));
     disconnected.send(messages::post("a1"));
-    leave(disconnected, GetParam());
+    close_client(disconnected, GetParam());
     ASSERT_TRUE(served("a2"));
     EXPECT_EQ(reader->requests, 2);
     EXPECT_EQ(edge->gauges().open_requests, 0U);
@@ -48,7 +48,7 @@
 
 // Guards against an attempt that starts on the first event of a loop iteration although the client's close
 // arrives in the same iteration: all events must be processed before anything is sent.
-TEST_P(ClientLeaves, InTheIterationInWhichItsServersAreListed) {
+TEST_P(ClientCloses, InTheIterationInWhichItsServersAreListed) {
     quiet = true;
     begin([](auto& p) { p.send(kStream); });
     ASSERT_TRUE(until([&] { return !discovery->peers.empty() && discovery->requests == 1; }));
@@ -56,18 +56,18 @@
     disconnected.send(messages::post("a1"));
     ASSERT_TRUE(until([&] { return edge->gauges().open_requests == 1; }));
     answer_discovery(*discovery->peers[0]);
-    leave(disconnected, GetParam());
+    close_client(disconnected, GetParam());
     ASSERT_TRUE(served("a2"));
     EXPECT_EQ(reader->requests, 1);
 }
 
-TEST_P(ClientLeaves, WhileItsPrefillIsRunning) {
+TEST_P(ClientCloses, WhileItsPrefillIsRunning) {
     begin([](auto& p) { p.send(kStream); });
     ASSERT_TRUE(served("a0"));
     DirectClient disconnected(edge->address());
     disconnected.send(messages::post("a1"));
     ASSERT_TRUE(until([&] { return reader->requests == 2; }));  // its response is on the way
-    leave(disconnected, GetParam());
+    close_client(disconnected, GetParam());
     ASSERT_TRUE(
         until([&] { return edge->gauges().open_requests == 0 && edge->gauges().kv_states_held == 0; }));
     ASSERT_TRUE(served("a2"));
@@ -75,7 +75,7 @@
 }
 
 // Guards against back-pressure that stops reading and so hides the close of a client that pipelined much.
-TEST_P(ClientLeaves, AfterPipeliningMoreThanTheLimit) {
+TEST_P(ClientCloses, AfterPipeliningMoreThanTheLimit) {
     begin([](auto&) {},  // the writer never responds
           [](auto& s) { s.limits.pipelined_bytes = 2000; });
     DirectClient disconnected(edge->address());
@@ -84,7 +84,7 @@
     std::string ahead;
     for (int i = 0; i < 100; ++i) ahead += messages::post("b" + std::to_string(i));
     disconnected.send(ahead);
-    leave(disconnected, GetParam());
+    close_client(disconnected, GetParam());
     EXPECT_TRUE(until([&] { return edge->gauges().open_requests == 0; }));
     EXPECT_EQ(writer->requests, 1);
 }
@@ -92,23 +92,23 @@
 // A client that pipelines too much gets the responses to its buffered requests in order, then a 503 and an
 // orderly close.
 TEST_F(PlatformRig, ClientThatPipelinesTooMuchIsAnsweredAndRejected) {
-    RawServer::Peer* waits = nullptr;
+    RawServer::Peer* first_request = nullptr;
     begin(
         [&](auto& p) {
-            if (waits == nullptr) waits = &p;
+            if (first_request == nullptr) first_request = &p;
             else p.send(kStream);
         },
         [](auto& s) { s.limits.pipelined_bytes = 400; });
     DirectClient c(edge->address());
     c.send(messages::post("a1"));
-    ASSERT_TRUE(until([&] { return waits != nullptr; }));
+    ASSERT_TRUE(until([&] { return first_request != nullptr; }));
     c.send(messages::post("b0"));
     ASSERT_TRUE(served("other"));  // by then b0 was read
     c.send(messages::post("b1"));  // exceeds the limit, and is still buffered
     ASSERT_TRUE(served("other2"));
     c.send(messages::post("b2"));  // is discarded
     ASSERT_TRUE(served("other3"));
-    waits->send(kStream);
+    first_request->send(kStream);
     ASSERT_TRUE(until([&] { return !c.read(); }));
     EXPECT_TRUE(c.in_good_order);
     std::size_t streams = 0;
@@ -185,19 +185,19 @@
 
 // Guards against discarding pipelined requests that were read before the shutdown.
 TEST_F(PlatformRig, PipelinedRequestsReadBeforeTheShutdownAreAnswered) {
-    RawServer::Peer* waits = nullptr;
+    RawServer::Peer* first_request = nullptr;
     begin(
         [&](auto& p) {
-            if (waits == nullptr) waits = &p;
+            if (first_request == nullptr) first_request = &p;
             else p.send(kStream);
         },
         [](auto& s) { s.limits.drain_grace = 0ms; });
     DirectClient c(edge->address());
     c.send(messages::post("a1") + messages::post("a2") + messages::post("a3"));
-    ASSERT_TRUE(until([&] { return waits != nullptr; }));
+    ASSERT_TRUE(until([&] { return first_request != nullptr; }));
     edge->drain();
     edge->drain();  // a second signal changes nothing
-    waits->send(kStream);
+    first_request->send(kStream);
     ASSERT_TRUE(until([&] { return !c.read(); }));
     EXPECT_TRUE(c.in_good_order);
     std::size_t answers = 0;
--- a/tests/net/handshake_limiter_test.cpp
+++ b/tests/net/handshake_limiter_test.cpp
@@ -75,25 +75,25 @@
         for (int step = 0; step < 400; ++step) {
             const auto what = random() % 3;
             if (what == 0) {
-                ModelEntry one{++last, std::string(1, static_cast<char>('a' + random() % 4)),
-                               static_cast<double>(random() % 3), false};
-                limiter.enter(one.id, one.server, one.priority);
-                model.push_back(one);
+                ModelEntry entry{++last, std::string(1, static_cast<char>('a' + random() % 4)),
+                                 static_cast<double>(random() % 3), false};
+                limiter.enter(entry.id, entry.server, entry.priority);
+                model.push_back(entry);
             } else if (what == 1 && !model.empty()) {
                 const auto at = static_cast<std::ptrdiff_t>(random() % model.size());
                 limiter.leave(model[static_cast<std::size_t>(at)].id);
                 model.erase(model.begin() + at);
             } else {
-                const auto busy = [&](const std::string& server) {
+                const auto count_under_way = [&](const std::string& server) {
                     return static_cast<std::size_t>(
                         std::count_if(model.begin(), model.end(), [&](const ModelEntry& o) {
                             return o.begun && (server.empty() || o.server == server);
                         }));
                 };
                 ModelEntry* best = nullptr;
-                if (busy("") < limits.total)
+                if (count_under_way("") < limits.total)
                     for (auto& o : model)
-                        if (!o.begun && busy(o.server) < limits.per_server &&
+                        if (!o.begun && count_under_way(o.server) < limits.per_server &&
                             (best == nullptr || o.priority > best->priority))
                             best = &o;
                 const auto got = limiter.next();
--- a/tests/net/pool_crossing_test.cpp
+++ b/tests/net/pool_crossing_test.cpp
@@ -36,7 +36,7 @@
         call(peer);
         answer(peer);
     }
-    static std::size_t drain(const Peer& peer) {
+    static std::size_t read_available(const Peer& peer) {
         std::string bytes(1U << 20U, '\0');
         std::size_t total = 0;
         for (;;) {
@@ -55,7 +55,7 @@
     no_direct_writes = true;
     call(peer, "body");
     EXPECT_TRUE(written);
-    EXPECT_GT(drain(peer), 0U);  // already received, without a loop iteration
+    EXPECT_GT(read_available(peer), 0U);  // already received, without a loop iteration
 }
 
 // When the pool itself ends the call, it reports the last byte before the end.
@@ -81,11 +81,11 @@
     // The peer reads until all bytes are written, which must be reported without libuv's callback.
     std::size_t got = 0;
     run_until([&] {
-        got += drain(peer);
+        got += read_available(peer);
         return written;
     });
     run_until([&] {
-        got += drain(peer);
+        got += read_available(peer);
         return got > kMoreThanAnyBuffer;
     });
     peer.send_bytes(kAnswer);
@@ -94,8 +94,9 @@
 }
 
 // Each way in which a server may end a call, with the request written in part and completely.
-enum class ServerEnds { close, reset, half_close, answer };
-class EndOfACall : public PoolCrossing, public ::testing::WithParamInterface<std::tuple<ServerEnds, bool>> {};
+enum class ServerAction { close, reset, half_close, answer };
+class EndOfACall : public PoolCrossing,
+                   public ::testing::WithParamInterface<std::tuple<ServerAction, bool>> {};
 TEST_P(EndOfACall, ReportsWhetherTheLastByteWasWritten) {
     const auto [end, all_out] = GetParam();
     Peer peer;
@@ -103,31 +104,31 @@
     call(peer, all_out ? std::string("body") : std::string(kMoreThanAnyBuffer, 'x'));
     if (all_out) run_until([&] { return written; });
     switch (end) {
-        case ServerEnds::close:
-            drain(peer);
+        case ServerAction::close:
+            read_available(peer);
             peer.disconnect(false);
             break;
-        case ServerEnds::reset: peer.disconnect(true); break;
-        case ServerEnds::half_close: shutdown(peer.connection, SHUT_WR); break;
-        case ServerEnds::answer:
+        case ServerAction::reset: peer.disconnect(true); break;
+        case ServerAction::half_close: shutdown(peer.connection, SHUT_WR); break;
+        case ServerAction::answer:
             peer.send_bytes("HTTP/1.1 413 Too Large\r\nContent-Length: 0\r\n\r\n");
             break;
     }
     run_until([&] { return ended; });
     EXPECT_EQ(written, all_out);
-    EXPECT_EQ(ending, end == ServerEnds::answer ? engine::ExchangeEnd::response_received
-                                                : engine::ExchangeEnd::connection_closed);
+    EXPECT_EQ(ending, end == ServerAction::answer ? engine::ExchangeEnd::response_received
+                                                  : engine::ExchangeEnd::connection_closed);
     // The rest of this request must not be sent ahead of the next one on the same connection.
-    const bool reused = end == ServerEnds::answer && all_out;
+    const bool reused = end == ServerAction::answer && all_out;
     const auto dialled = pool->counts().dialled;
     Peer other;
     call(peer);
     EXPECT_EQ(pool->counts().dialled, dialled + (reused ? 0 : 1));
-    pool->cancel(last);
+    pool->cancel(last_call);
 }
 INSTANTIATE_TEST_SUITE_P(Kinds, EndOfACall,
-                         ::testing::Combine(::testing::Values(ServerEnds::close, ServerEnds::reset,
-                                                              ServerEnds::half_close, ServerEnds::answer),
+                         ::testing::Combine(::testing::Values(ServerAction::close, ServerAction::reset,
+                                                              ServerAction::half_close, ServerAction::answer),
                                             ::testing::Bool()));
 
 // Guards against sending a request whose deadline passed while its connection was established. The connection
@@ -140,7 +141,7 @@
     run_until([&] { return ended; });
     EXPECT_EQ(ending, engine::ExchangeEnd::expired);
     peer.accept_connection();
-    EXPECT_EQ(drain(peer), 0U);
+    EXPECT_EQ(read_available(peer), 0U);
     EXPECT_EQ(pool->counts().connections, 1U);
     send_allowed = true;
     ending = engine::ExchangeEnd::response_received;
@@ -158,7 +159,7 @@
     http::Headers headers;
     headers.add("X-Time-Left", "300m");
     ended = written = false;
-    pool->start(++last, Target(peer.address), {"POST", "/", std::move(headers), "body"});
+    pool->start(++last_call, Target(peer.address), {"POST", "/", std::move(headers), "body"});
     run_until([&] { return written; });
     peer.accept_connection();
     std::string got(1000, '\0');
@@ -174,8 +175,8 @@
     open_idle_connection(peer);
     call(peer, "body");
     run_until([&] { return written; });
-    pool->half_close(last);
-    drain(peer);
+    pool->half_close(last_call);
+    read_available(peer);
     char byte = 0;
     EXPECT_EQ(recv(peer.connection, &byte, 1, 0), 0);  // the server sees the end
     peer.send_bytes(kAnswer);
@@ -189,7 +190,7 @@
     open();
     Peer peer;
     call(peer, "body");
-    pool->cancel(last);
+    pool->cancel(last_call);
     EXPECT_EQ(pool->counts().connections, 0U);
     Peer other;
     call(other, "body");
@@ -209,9 +210,9 @@
     Peer peer;
     call(peer);
     run_until([&] { return written; });
-    for (int i = 0; i < 3; ++i) pool->start(++last, Target(peer.address), {"POST", "/late", {}, {}});
-    last_rejected_call = last;
-    pool->start(++last, Target(peer.address), {"POST", "/next", {}, {}});
+    for (int i = 0; i < 3; ++i) pool->start(++last_call, Target(peer.address), {"POST", "/late", {}, {}});
+    last_rejected_call = last_call;
+    pool->start(++last_call, Target(peer.address), {"POST", "/next", {}, {}});
     written = false;
     peer.accept_connection();
     peer.send_bytes(kAnswer);
--- a/tests/net/pool_rig.hpp
+++ b/tests/net/pool_rig.hpp
@@ -66,7 +66,8 @@
     }
     void call(const Peer& peer, std::string_view body = "", bool beyond_limit = false) {
         ended = written = false;
-        pool->start(++last, Target(peer.address), {"POST", "/", {}, std::string(body)}, {0, beyond_limit});
+        pool->start(++last_call, Target(peer.address), {"POST", "/", {}, std::string(body)},
+                    {0, beyond_limit});
     }
     void run_until(const std::function<bool()>& condition) {
         // The time limit only keeps a broken build from hanging. It needs a timer, as a loop without events
@@ -106,7 +107,7 @@
     }
     uv_loop_t loop{};
     std::unique_ptr<UpstreamPool> pool;
-    UpstreamPool::Call last = 0;
+    UpstreamPool::Call last_call = 0;
     bool ended = false, written = false;
     bool send_allowed = true;                   // The result of on_ready()
     UpstreamPool::Call last_rejected_call = 1;  // on_ready() rejects the calls from 2 to this one
--- a/tests/net/tls_test.cpp
+++ b/tests/net/tls_test.cpp
@@ -323,18 +323,18 @@
     const auto context = Context::server(
         std::vector<Material>{material("api.example.org"), material("*.tenants.example.org")}, kNow);
     ASSERT_TRUE(context) << context.error();
-    const auto taken = [&](const std::string& name) {
+    const auto connects = [&](const std::string& name) {
         const auto client = Filter::client(client_context(), name, nullptr, kNow);
         const auto server = Filter::server(*context, kNow);
         Exchange exchange;
         transfer(*client, *server, client->start(), {}, exchange);
         return exchange.client_connected;
     };
-    EXPECT_TRUE(taken("api.example.org"));
-    EXPECT_TRUE(taken("acme.tenants.example.org"));
-    EXPECT_FALSE(taken("a.b.tenants.example.org"));
+    EXPECT_TRUE(connects("api.example.org"));
+    EXPECT_TRUE(connects("acme.tenants.example.org"));
+    EXPECT_FALSE(connects("a.b.tenants.example.org"));
     EXPECT_FALSE(
-        taken("elsewhere.example.org"));  // the server presents the first one, which the client refuses
+        connects("elsewhere.example.org"));  // the server presents the first one, which the client refuses
     auto bad = std::vector<Material>{material("a"), material("b")};
     bad[1].key = bad[0].key;
     const auto broken = Context::server(bad, kNow);
