--- a/src/membership/endpoint_source.hpp
+++ b/src/membership/endpoint_source.hpp
@@ -1,5 +1,5 @@
-// Where the endpoint list comes from. The servers of the settings file, the admin listener and the discovery
-// watch are such sources; others (a coordination service, watched files) can be added beside them.
+// The interface of endpoint sources. The settings file, the admin listener and the discovery watch are
+// sources; others (a coordination service, watched files) can be added.
 #pragma once
 
 #include "membership/endpoint_list.hpp"
@@ -10,7 +10,7 @@
 class EndpointSink {
 public:
     virtual ~EndpointSink() = default;
-    // The update is in force when this returns.
+    // Applies an update. The sink owns it from then on, and applies updates in the order of the calls.
     virtual void apply(EndpointList update) = 0;
 };
 
@@ -18,8 +18,8 @@
 class EndpointSource {
 public:
     virtual ~EndpointSource() = default;
-    // Starts delivering to `sink`, which must outlive the source. What is known already is delivered before
-    // this returns.
+    // Starts delivering to `sink`, which must outlive the source. Delivers an update that is already known
+    // before it returns.
     virtual void start(EndpointSink& sink) = 0;
 };
 
--- a/src/membership/update_sequence.hpp
+++ b/src/membership/update_sequence.hpp
@@ -1,6 +1,6 @@
-// Which updates of an endpoint list may be applied. A delta says what has changed after one version: applied
-// to any other list it leaves out servers that came or went in between. Free of I/O; not thread-safe; no
-// errors.
+// Decides which updates of an endpoint list may be applied. A delta contains the changes since one version;
+// applied to any other version, it would miss servers that were added or removed in between. No I/O; not
+// thread-safe; no errors.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -9,19 +9,20 @@
 
 namespace chalksail::membership {
 
-// The versions that one discovery service has delivered, as it numbers them.
+// Tracks the version numbers that one discovery service has delivered.
 class UpdateSequence {
 public:
     enum class Decision {
         apply,
-        ignore,       // it changes nothing
-        out_of_order  // it does not follow the version in force: only a snapshot shows the current list
+        ignore,       // an empty delta of the version in force: nothing changes
+        out_of_order  // does not follow the version in force; a snapshot is needed
     };
-    // No list of this discovery service is known, or none that can be trusted.
+    // Forgets the version in force: the list of this discovery service is unknown or can't be trusted.
     void reset() { generation_.reset(); }
-    // Judges an update; one that is applied is in force from now on. `empty`: it has no entries.
+    // Decides on an update. If it returns `apply`, `generation` becomes the version in force. `empty` means
+    // that the update has no entries.
     [[nodiscard]] Decision accept(EndpointUpdateKind kind, std::int64_t generation, bool empty);
-    // Of the list in force; nothing: none is known.
+    // Returns the version of the list in force, or std::nullopt if none is known.
     [[nodiscard]] std::optional<std::int64_t> generation() const { return generation_; }
 
 private:
--- a/src/membership/verification.cpp
+++ b/src/membership/verification.cpp
@@ -7,7 +7,7 @@
 bool Verification::failed(const std::string& server, Time now) {
     const auto [it, newly_excluded] = excluded_.try_emplace(server);
     Exclusion& exclusion = it->second;
-    // Attempts that were already under way when the first one failed prove nothing new.
+    // Handshakes that had begun before the first failure provide no new information.
     if (!newly_excluded && !exclusion.trial_in_progress) return false;
     if (newly_excluded || exclusion.backoff == Duration::zero()) {
         exclusion.backoff = backoff_.first;
--- a/src/membership/verification.hpp
+++ b/src/membership/verification.hpp
@@ -1,5 +1,5 @@
-// TLS verification state of the servers. A server whose certificate did not verify is excluded until a
-// handshake verifies again; such handshakes are made alone, without a request, with exponential backoff.
+// TLS verification state of the servers. A server whose certificate failed verification is excluded until a
+// trial handshake succeeds. Trial handshakes carry no request and are repeated with exponential backoff.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -12,8 +12,8 @@
 
 namespace chalksail::membership {
 
-// The servers that are excluded because they failed verification, and when to try each again. Only a
-// verified handshake brings a server back. Not thread-safe.
+// Records which servers are excluded because they failed verification, and when the next trial of each is
+// due. Only a verified handshake ends an exclusion. Not thread-safe.
 class Verification {
 public:
     struct Backoff {
@@ -23,27 +23,27 @@
     };
     explicit Verification(Backoff backoff) : backoff_(backoff) {}
 
-    // A handshake with `server` did not verify. Returns true if it was not excluded before.
+    // Records a handshake with `server` that failed verification. Returns true if it was not excluded before.
     bool failed(const std::string& server, Time now);
-    // A trial handshake proved nothing (no connection, for instance): the next follows after the same
-    // backoff.
+    // Records a trial handshake without a result (no connection, for example). The next trial follows after
+    // the same backoff.
     void inconclusive(const std::string& server, Time now);
-    // A handshake verified. Returns true if the server was excluded before.
+    // Records a verified handshake. Returns true if the server was excluded before.
     bool verified(const std::string& server);
-    // The server's list entry changed: its next trial is due at once, and the backoff starts anew.
+    // Records a change of the server's list entry: its next trial is due at once, and its backoff is reset.
     void changed(const std::string& server, Time now);
-    // The trust store changed: as `changed`, for all excluded servers.
+    // Records a change of the trust store: same effect as `changed`, for all excluded servers.
     void trust_changed(Time now);
-    // The server was removed from the list.
+    // Removes a server that was removed from the list.
     void forget(const std::string& server) { excluded_.erase(server); }
 
     [[nodiscard]] bool unverified(const std::string& server) const { return excluded_.contains(server); }
-    // Number of excluded servers.
+    // The number of excluded servers.
     [[nodiscard]] std::size_t count() const { return excluded_.size(); }
-    // Servers whose trial handshake is due. Each counts as in progress until its end is reported by `failed`,
-    // `inconclusive` or `verified`.
+    // Returns the servers whose trial handshake is due. Each counts as in progress until `failed`,
+    // `inconclusive` or `verified` reports its result.
     [[nodiscard]] std::vector<std::string> due(Time now);
-    // Time of the earliest trial that is not in progress; none if there is none.
+    // Returns the time of the earliest trial that is not in progress, or std::nullopt if there is none.
     [[nodiscard]] std::optional<Time> next() const;
 
 private:
--- a/src/membership/wall_clock.cpp
+++ b/src/membership/wall_clock.cpp
@@ -16,7 +16,7 @@
 }
 
 Time WallClock::to_monotonic(Duration wall) const {
-    // Steps are observed a little late, and a timestamp may be newer than the last reading.
+    // Steps are detected with a delay, and a timestamp may be newer than the last reading.
     constexpr Duration kSlack = 2 * kStepThreshold;
     Time end = last_observed_ + kSlack;
     for (auto span = spans_.rbegin(); span != spans_.rend(); ++span) {
@@ -25,7 +25,7 @@
         if (at <= end && (earliest || at >= span->begin - kSlack)) return at;
         end = span->begin + kSlack;
     }
-    // The wall clock was never observed to show this time: the current offset counts, up to now.
+    // No span contains this time: uses the current offset, limited to the time of the last reading.
     return std::min(Time(spans_.back().offset + wall), last_observed_);
 }
 
--- a/src/membership/wall_clock.hpp
+++ b/src/membership/wall_clock.hpp
@@ -1,9 +1,9 @@
-// Conversion of wall-clock timestamps to the monotonic clock, while the wall clock is stepped forward and
-// back. Reads no clock itself.
+// Converts wall-clock timestamps to the monotonic clock, correctly across steps of the wall clock. Reads no
+// clock itself.
 //
-// All machines follow one wall clock, so a timestamp is converted by the offset that held when the wall
-// clock showed it. A server's start time is converted once: the same timestamp reported again after a step
-// is the same start.
+// All machines follow the same wall clock, so a timestamp is converted with the offset that was in effect
+// when the wall clock showed it. A server's start time is converted only once: the same timestamp reported
+// again after a step means the same start.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -14,21 +14,21 @@
 
 namespace chalksail::membership {
 
-// Remembers the offsets between the two clocks and when each began to hold. Not thread-safe.
+// Records the offsets between the two clocks and the time from which each was in effect. Not thread-safe.
 class WallClock {
 public:
-    // `wall`: time since the Unix epoch, read at the monotonic time `now`.
+    // `wall` is the time since the Unix epoch, read at the monotonic time `now`.
     WallClock(Time now, Duration wall);
 
     // Records a reading of both clocks. Call it periodically, and before converting timestamps that were just
     // received. A change of the offset by kStepThreshold or more counts as a step.
     void observe(Time now, Duration wall);
-    // The monotonic time at which the wall clock showed `wall`; the later one if it showed it twice.
+    // Returns the monotonic time at which the wall clock showed `wall`; the later one if it did so twice.
     [[nodiscard]] Time to_monotonic(Duration wall) const;
 
-    // Two clocks are not read at the same instant, and the process may be suspended in between.
+    // Tolerates the delay between the readings of the two clocks: the process may be suspended in between.
     static constexpr Duration kStepThreshold = std::chrono::milliseconds(500);
-    // Bounds the memory used; older steps are forgotten.
+    // Limits memory use; the oldest steps are dropped.
     static constexpr std::size_t kMaxSpans = 16;
 
 private:
@@ -37,18 +37,18 @@
         Time begin{};
         Duration offset{};  // monotonic minus wall
     };
-    std::deque<Span> spans_;  // in order of time; the first extends back without limit
+    std::deque<Span> spans_;  // ordered by time; the first one extends back without limit
     Time last_observed_{};
 };
 
-// The start times of servers, by the monotonic clock. Not thread-safe.
+// The start times of servers on the monotonic clock. Not thread-safe.
 class StartTimes {
 public:
-    // `started_ms`: milliseconds since the Unix epoch, by the wall clock. 0 stands for "long ago" and gives
-    // Time{}.
+    // Returns the monotonic start time of a server. `started_ms` is its start in milliseconds since the Unix
+    // epoch on the wall clock; 0 stands for "long ago" and gives Time{}.
     [[nodiscard]] Time of(const std::string& server, std::int64_t started_ms, const WallClock& clock);
     void forget(const std::string& server) { starts_.erase(server); }
-    // `listed`: the entries of a complete list, each with an `id`.
+    // Drops all servers that are not in `listed`, the entries of a complete list, each with an `id`.
     template <class Entries>
     void forget_all_but(const Entries& listed) {
         std::map<std::string, Start> retained;
--- a/src/membership/watch_schedule.cpp
+++ b/src/membership/watch_schedule.cpp
@@ -45,12 +45,12 @@
     next_open_ = now;
 }
 
-bool WatchSchedule::silent(Time now) const {
+bool WatchSchedule::timed_out(Time now) const {
     if (!open_) return false;
-    const bool list = open_ == WatchCall::list;
-    if (list && now - opened_at_ > limits_.list_timeout) return true;
+    const bool list_call = open_ == WatchCall::list;
+    if (list_call && now - opened_at_ > limits_.list_timeout) return true;
     const Duration timeout =
-        list || inside_object_ ? limits_.object_silence_timeout : limits_.silence_timeout;
+        list_call || inside_object_ ? limits_.object_silence_timeout : limits_.silence_timeout;
     return now - last_received_ > timeout;
 }
 
--- a/src/membership/watch_schedule.hpp
+++ b/src/membership/watch_schedule.hpp
@@ -1,5 +1,5 @@
-// When the endpoint list is requested, when a watch of its changes is opened, and when either call is given
-// up as silent. A change that a broken watch misses must be known within 6 s, so each kind of failure is
+// Decides when the endpoint list is requested, when a watch of its changes is opened, and when either call
+// has timed out. A change that a broken watch misses must be known within 6 s, so each kind of failure is
 // detected and retried well within that time; tests/membership/watch_schedule_test.cpp checks the worst
 // cases.
 #pragma once
@@ -12,59 +12,63 @@
 
 // Size and time limits of a watch.
 struct WatchLimits {
-    // One object: the complete list of the largest fleet (3,200 servers), indented, at 2 KiB each.
+    // Maximum size of one object. The largest one, the complete list of 3,200 servers with indentation, takes
+    // up to 2 KiB per server.
     std::size_t object_bytes = std::size_t{8} * 1024 * 1024;
     Duration dial_timeout = std::chrono::milliseconds(500);
-    // Without a byte before the list has ended, or inside an object: discovery answers at once, and sends an
-    // object in one go or nearly so.
+    // Maximum time without a byte in a list call or inside an object: discovery responds at once and sends an
+    // object with hardly a pause.
     Duration object_silence_timeout = std::chrono::milliseconds(700);
-    // From the start of a call for the list to its end, also while single bytes keep coming.
+    // Maximum duration of a list call, even if single bytes keep arriving.
     Duration list_timeout = std::chrono::milliseconds(1200);
-    // Without a byte in a watch, but inside an object: discovery sends at least white space every 2 s.
+    // Maximum time without a byte between the objects of a watch: discovery sends white space at least every
+    // 2 s.
     Duration silence_timeout = std::chrono::milliseconds(2600);
     Duration backoff_initial = std::chrono::milliseconds(50);
     Duration backoff_max = std::chrono::milliseconds(400);
 };
 
-// The list is requested first, then a watch of what changes after it.
+// The kinds of calls to discovery: a request for the complete list, then a watch of the changes after it.
 enum class WatchCall { list, watch };
 
-// The timing of these calls, with exponential backoff. Reads no clock. Not thread-safe.
+// Schedules these calls, with exponential backoff. Reads no clock. Not thread-safe.
 class WatchSchedule {
 public:
     explicit WatchSchedule(WatchLimits limits) : limits_(limits) {}
 
+    // Records that a call was opened.
     void opened(WatchCall call, Time now);
-    // The head of the response arrived.
+    // Records that the head of the response arrived.
     void response_began(Time now);
-    // Bytes of the response's body arrived. `inside_object`: they end inside an object.
+    // Records that bytes of the response's body arrived. `inside_object` means that an object is incomplete.
     void received(Time now, bool inside_object);
-    // The list that the call was made for is known.
+    // Records that the open call has delivered the complete list.
     void list_received() { list_received_ = true; }
-    // The call ended, for whatever reason. Behind a list that is known the watch is due at once.
+    // Records that the call ended, for any reason. If it delivered the list, the watch is due at once.
     void ended(Time now);
-    // Discovery moved to another address: a call to it is due at once.
+    // Records that the address of discovery changed: a list call is due at once.
     void target_changed(Time now);
 
-    // Has the open call been silent for too long?
-    [[nodiscard]] bool silent(Time now) const;
-    // Is it one for the list, of which nothing has come? It is to stay open beside the next one.
+    // Returns whether the open call has timed out.
+    [[nodiscard]] bool timed_out(Time now) const;
+    // Returns whether the open call is a list call without any response so far. The owner keeps such a call
+    // open beside the next one, as its response may still arrive.
     [[nodiscard]] bool may_be_answered_late() const { return open_ == WatchCall::list && !response_began_; }
-    // Has the open call brought the list?
+    // Returns whether the open call has delivered the list.
     [[nodiscard]] bool list_known() const { return list_received_; }
-    // The call to be started, if one is.
+    // Returns the call to open now, if one is due.
     [[nodiscard]] std::optional<WatchCall> due(Time now) const;
 
 private:
     WatchLimits limits_;
     std::optional<WatchCall> open_;
-    WatchCall next_ = WatchCall::list;  // while no call is open
-    bool response_began_ = false;       // of the open call
-    bool list_received_ = false;        // in the open call
-    bool inside_object_ = false;
+    WatchCall next_ = WatchCall::list;  // kind of the next call; valid while no call is open
+    bool response_began_ = false;       // the head of the open call's response has arrived
+    bool list_received_ = false;        // the open call has delivered the list
+    bool inside_object_ = false;        // the bytes received so far end inside an object
     Time opened_at_{};
     Time last_received_{};
-    Time next_open_{};  // while no call is open
+    Time next_open_{};  // when the next call is due; valid while no call is open
     Duration backoff_{};
 };
 
--- a/src/net/admin.cpp
+++ b/src/net/admin.cpp
@@ -11,16 +11,16 @@
 
 constexpr std::size_t kMaxNameBytes = 256;
 constexpr double kMaxWeight = 1e6;
-constexpr std::int64_t kMaxUnixMilliseconds = 4'000'000'000'000;  // in the year 2096
+constexpr std::int64_t kMaxUnixMilliseconds = 4'000'000'000'000;  // a time in the year 2096
 
 using Status = tl::expected<void, std::string>;
 
 Status error(std::string text) { return tl::unexpected(std::move(text)); }
 
-// Reads one member of the list into an endpoint.
+// Parses one entry of the list.
 class EndpointParser {
 public:
-    // `names`: those of the members before it.
+    // `names` holds the names of the entries before it.
     EndpointParser(const rapidjson::Value& item, const std::set<std::string>& kinds, ClockOffset offset,
                    std::set<std::string>& names)
         : item_(item), kinds_(kinds), offset_(offset), names_(names) {}
@@ -39,10 +39,11 @@
 
     Status read_name() {
         const auto name = text("name");
-        if (name.empty() || name.size() > kMaxNameBytes) return error("'name' must be a string");
+        if (name.empty() || name.size() > kMaxNameBytes)
+            return error("'name' must be a string of 1 to 256 bytes");
         out_.endpoint.id = {std::string(name)};
         if (!names_.insert(out_.endpoint.id.value).second)
-            return error("'" + out_.endpoint.id.value + "' is named twice");
+            return error("'" + out_.endpoint.id.value + "' is listed twice");
         return {};
     }
 
@@ -61,7 +62,7 @@
         out_.endpoint.zone = text("zone");
         const auto* cell = find("cell");
         if (cell == nullptr) return {};
-        if (!cell->IsInt64()) return error("'cell' must be a whole number");
+        if (!cell->IsInt64()) return error("'cell' must be an integer");
         out_.endpoint.cell = cell->GetInt64();
         return {};
     }
@@ -79,7 +80,8 @@
         const auto* started = find("started_unix_ms");
         if (started == nullptr) return {};
         if (!started->IsInt64() || started->GetInt64() < 0 || started->GetInt64() > kMaxUnixMilliseconds)
-            return error("'started_unix_ms' must be milliseconds since 1970");
+            return error(
+                "'started_unix_ms' must be an integer from 0 to 4000000000000 (milliseconds since 1970)");
         out_.endpoint.started_at =
             Time(Duration(std::chrono::milliseconds(started->GetInt64())) + offset_.value);
         return {};
@@ -113,7 +115,7 @@
     return tl::unexpected(std::string("'scope' must be \"complete\" or \"changes\""));
 }
 
-std::string_view state_word(EndpointState state) {
+std::string_view state_name(EndpointState state) {
     switch (state) {
         case EndpointState::up: return "up";
         case EndpointState::draining: return "draining";
@@ -129,7 +131,7 @@
                                                                       ClockOffset offset) {
     json::Document document;
     if (!json::parse(body, document) || !document.IsObject())
-        return tl::unexpected(std::string("one JSON object wanted"));
+        return tl::unexpected(std::string("the body must be one JSON object"));
     const auto kind = parse_scope(json::text(json::find(document, "scope")));
     if (!kind) return tl::unexpected(kind.error());
     const auto* list = json::find(document, "servers");
@@ -138,11 +140,11 @@
     out.kind = *kind;
     std::set<std::string> names;
     for (rapidjson::SizeType i = 0; i < list->Size(); ++i) {
-        const auto place = "servers[" + std::to_string(i) + "]: ";
+        const auto prefix = "servers[" + std::to_string(i) + "]: ";
         const auto& item = (*list)[i];
-        if (!item.IsObject()) return tl::unexpected(place + "an object wanted");
+        if (!item.IsObject()) return tl::unexpected(prefix + "must be an object");
         auto config = EndpointParser(item, kinds, offset, names).parse();
-        if (!config) return tl::unexpected(place + config.error());
+        if (!config) return tl::unexpected(prefix + config.error());
         out.endpoints.push_back(std::move(*config));
     }
     return out;
@@ -150,21 +152,21 @@
 
 std::string format_server_list(const std::vector<membership::EndpointConfig>& servers, ClockOffset offset) {
     std::string list;
-    for (const auto& s : servers) {
+    for (const auto& server : servers) {
         if (!list.empty()) list += ',';
         json::ObjectWriter item;
-        item.text("name", s.endpoint.id.value)
-            .text("address", format_address(s.address))
-            .text("kind", s.endpoint.kind)
-            .text("zone", s.endpoint.zone)
-            .integer("cell", s.endpoint.cell)
-            .number("weight", s.endpoint.weight)
-            .text("state", state_word(s.endpoint.state));
-        if (s.events) item.text("events", format_address(*s.events));
-        if (s.replay) item.text("replay", format_address(*s.replay));
-        if (s.endpoint.started_at != Time{})
+        item.text("name", server.endpoint.id.value)
+            .text("address", format_address(server.address))
+            .text("kind", server.endpoint.kind)
+            .text("zone", server.endpoint.zone)
+            .integer("cell", server.endpoint.cell)
+            .number("weight", server.endpoint.weight)
+            .text("state", state_name(server.endpoint.state));
+        if (server.events) item.text("events", format_address(*server.events));
+        if (server.replay) item.text("replay", format_address(*server.replay));
+        if (server.endpoint.started_at != Time{})
             item.integer("started_unix_ms", std::chrono::duration_cast<std::chrono::milliseconds>(
-                                                s.endpoint.started_at.time_since_epoch() - offset.value)
+                                                server.endpoint.started_at.time_since_epoch() - offset.value)
                                                 .count());
         list += item.done();
     }
@@ -174,17 +176,17 @@
 void SettingsSource::start(membership::EndpointSink& sink) {
     if (settings_.servers.empty()) return;
     membership::EndpointList out;
-    for (const auto& s : settings_.servers) {
-        membership::EndpointConfig listed;
-        listed.endpoint.id = {s.name};
-        listed.endpoint.kind = s.kind;
-        listed.endpoint.zone = s.zone;
-        listed.endpoint.cell = s.cell;
-        listed.endpoint.weight = s.weight;
-        listed.address = s.address;
-        listed.events = s.events;
-        listed.replay = s.replay;
-        out.endpoints.push_back(std::move(listed));
+    for (const auto& server : settings_.servers) {
+        membership::EndpointConfig config;
+        config.endpoint.id = {server.name};
+        config.endpoint.kind = server.kind;
+        config.endpoint.zone = server.zone;
+        config.endpoint.cell = server.cell;
+        config.endpoint.weight = server.weight;
+        config.address = server.address;
+        config.events = server.events;
+        config.replay = server.replay;
+        out.endpoints.push_back(std::move(config));
     }
     sink.apply(std::move(out));
 }
--- a/src/net/admin_endpoint.cpp
+++ b/src/net/admin_endpoint.cpp
@@ -17,7 +17,7 @@
     const auto path = request.path();
     const bool get = request.method == "GET";
     if (path == "/servers" && source_ == nullptr)
-        return reply_not_found(peer, "the list comes from elsewhere");
+        return reply_not_found(peer, "the endpoint list is not managed by this listener");
     if (path == "/servers" && request.method == "POST") return post_servers(peer, request);
     if (path == "/servers" && get) return get_servers(peer);
     if (path == "/metrics" && get) return get_metrics(peer);
@@ -31,7 +31,7 @@
         return reply_json(peer, 400,
                           chat::format_error({400, *error, "invalid_request_error", "servers", ""}));
     }
-    // The list has reached the gateway before its sender gets this response.
+    // The gateway has received the list before its sender gets this response.
     reply_json(peer, 200, R"({"taken":true})");
 }
 
--- a/src/net/admin_endpoint.hpp
+++ b/src/net/admin_endpoint.hpp
@@ -1,6 +1,6 @@
-// The admin listener: /servers, /metrics and /health over HTTP (net/admin.hpp has the formats). One loop, one
-// thread; what it is given outlives it. Errors: the constructor throws std::runtime_error if the address
-// can't be listened on.
+// The admin listener: serves /servers, /metrics and /health over HTTP (formats: net/admin.hpp). Not
+// thread-safe: belongs to one loop. The constructor's arguments must outlive it. listen() throws
+// std::runtime_error if the address can't be listened on.
 #pragma once
 
 #include <uv.h>
@@ -18,7 +18,7 @@
 
 class AdminEndpoint : HttpServer::Handler {
 public:
-    // What the pages show of the gateway.
+    // The parts of the gateway that the pages show.
     struct Gateway {
         virtual ~Gateway() = default;
         [[nodiscard]] virtual std::vector<membership::EndpointConfig> endpoints() const = 0;
@@ -26,13 +26,13 @@
         [[nodiscard]] virtual bool draining() const = 0;
     };
 
-    // `source`: takes posted lists; nullptr: the list comes from elsewhere.
+    // `source` receives posted lists; nullptr if another source delivers the endpoint list.
     AdminEndpoint(uv_loop_t& loop, const ServerLimits& limits, Gateway& gateway, AdminSource* source,
                   observe::Log& log);
 
-    // Returns the address in use: port 0 asks for a free one.
+    // Returns the bound address; port 0 requests a free port.
     Address listen(const Address& address) { return server_.listen(address); }
-    // Sends the responses gathered so far.
+    // Sends the responses that are buffered.
     void flush() { server_.flush(); }
 
 private:
--- a/src/net/cache_snapshot_store.cpp
+++ b/src/net/cache_snapshot_store.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 template <typename Operation>
-void log_errors_of(observe::Log& log, const Operation& operation) {
+void run_logging_errors(observe::Log& log, const Operation& operation) {
     try {
         operation();
     } catch (const std::runtime_error& error) {
@@ -18,22 +18,23 @@
 
 CacheSnapshotStore::CacheSnapshotStore(const std::string& folder, std::size_t max_bytes, observe::Log& log)
     : store_(folder, max_bytes), log_(log) {
-    if (store_.set_aside()) log_.warn("cache_snapshots", "the file was not usable, and is set aside");
+    if (store_.set_aside())
+        log_.warn("cache_snapshots", "unusable snapshot file was renamed and replaced by an empty one");
 }
 
 void CacheSnapshotStore::put(const std::string& server, const std::string& snapshot) {
-    log_errors_of(log_, [&] {
+    run_logging_errors(log_, [&] {
         store_.put(server, snapshot);
         written_ += 1;
     });
 }
 
 void CacheSnapshotStore::erase(const std::string& server) {
-    log_errors_of(log_, [&] { store_.erase(server); });
+    run_logging_errors(log_, [&] { store_.erase(server); });
 }
 
 void CacheSnapshotStore::flush() {
-    log_errors_of(log_, [&] { store_.flush(); });
+    run_logging_errors(log_, [&] { store_.flush(); });
 }
 
 }  // namespace chalksail::net
--- a/src/net/cache_snapshot_store.hpp
+++ b/src/net/cache_snapshot_store.hpp
@@ -1,5 +1,5 @@
-// Cache snapshots of servers on disk, one for each. Without a snapshot the index only has to be built anew,
-// so an error of the store is logged and never stops the gateway. One thread.
+// Stores one cache snapshot per server on disk. A lost snapshot only means that the prefix index is rebuilt
+// from events, so errors of the store are logged and never stop the gateway. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -13,15 +13,15 @@
 
 class CacheSnapshotStore {
 public:
-    // Throws std::runtime_error where the folder can't be used. `max_bytes`: of the file.
+    // Throws std::runtime_error if the folder can't be used. `max_bytes` limits the size of the file.
     CacheSnapshotStore(const std::string& folder, std::size_t max_bytes, observe::Log& log);
 
     [[nodiscard]] std::map<std::string, std::string> all() const { return store_.all(); }
-    // Replaces the server's earlier one.
+    // Stores a server's snapshot in place of its earlier one.
     void put(const std::string& server, const std::string& snapshot);
     void erase(const std::string& server);
     void flush();
-    // Snapshots written since the start.
+    // The number of snapshots written since startup.
     [[nodiscard]] std::uint64_t written() const { return written_; }
 
 private:
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kPollInterval{20};  // the schedule's times are far longer
-// A step of the wall clock is noticed within this time.
+constexpr std::chrono::milliseconds kPollInterval{20};  // far below the time-outs of the schedule
+// A step of the wall clock is detected within this time.
 constexpr Duration kWallClockInterval = std::chrono::milliseconds(500);
 constexpr std::size_t kHeadBytes = 16 * 1024;
-constexpr std::size_t kConnections = 2;  // the watch, and the one that replaces it
+constexpr std::size_t kConnections = 2;  // one for the open call, one for the call that replaces it
 
 Duration wall_now() {
     return std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
@@ -59,13 +59,13 @@
 void DiscoveryWatch::poll() {
     const Time now = uv_now_time();
     if (now >= wall_clock_due_) observe_wall_clock(now);
-    if (schedule_.silent(now)) on_silence();
+    if (schedule_.timed_out(now)) on_timeout();
     if (const auto call = schedule_.due(now)) open(*call);
 }
 
 void DiscoveryWatch::move(Address discovery) {
     if (discovery == discovery_) return;
-    log_.info("discovery", "moves to " + format_address(discovery));
+    log_.info("discovery", "address changed to " + format_address(discovery));
     discovery_ = std::move(discovery);
     drop(call_);
     drop(late_call_);
@@ -80,7 +80,7 @@
                                    : platform::watch_target(sequence_.generation().value_or(0));
     call_.emplace(OpenCall{++last_call_, kind, platform::ObjectReader(limits_.object_bytes)});
     schedule_.opened(kind, uv_now_time());
-    log_.info("discovery", "asks " + format_address(discovery_) + " for " + target);
+    log_.info("discovery", "requesting " + target + " from " + format_address(discovery_));
     pool_.start(call_->id, Target(discovery_), {"GET", target, {}, {}});
 }
 
@@ -89,21 +89,21 @@
     call.reset();
 }
 
-// Guards against a discovery service that is slower than the time given to a call: each call would be given
-// up before its answer. A call for the list stays open beside the one after it.
-void DiscoveryWatch::on_silence() {
-    if (!schedule_.may_be_answered_late()) return close("silent");
+// Keeps a list call that timed out open beside the next one. Otherwise a discovery service that takes longer
+// than the time-out would never deliver the list: each call would be cancelled before its response.
+void DiscoveryWatch::on_timeout() {
+    if (!schedule_.may_be_answered_late()) return close("timed out");
     drop(late_call_);
     late_call_ = std::move(call_);
-    on_ended("silent");
+    on_ended("timed out");
 }
 
-// The late answer has come: the call made after it is not needed.
+// Continues with the timed-out list call, whose response has now begun, and cancels the call made after it.
 void DiscoveryWatch::resume_late_call() {
     drop(call_);
     call_ = std::exchange(late_call_, std::nullopt);
     schedule_.opened(WatchCall::list, uv_now_time());
-    log_.info("discovery", "answers late");
+    log_.info("discovery", "response to a timed-out list call arrived");
 }
 
 void DiscoveryWatch::close(const std::string& reason) {
@@ -116,8 +116,8 @@
     const bool list_known = schedule_.list_known();
     schedule_.ended(uv_now_time());
     if (!list_known) return log_.warn("discovery", reason + "; the last list stays in force");
-    // Guards against a discovery service that restarts between the list and the watch, and has the same
-    // versions again: the watch follows on the same connection, which would break.
+    // Opens the watch on the connection that delivered the list. A discovery service that restarts in between
+    // may reuse version numbers; the restart breaks the connection and so is detected.
     watch_timer_.start_once(std::chrono::milliseconds(0));
 }
 
@@ -125,7 +125,7 @@
     if (late_call_ && late_call_->id == call) resume_late_call();
     if (!is_open(call)) return;
     if (status == 200) schedule_.response_began(uv_now_time());
-    else close("answers " + std::to_string(status));
+    else close("response status " + std::to_string(status));
 }
 
 void DiscoveryWatch::on_body(UpstreamPool::Call call, std::string bytes) {
@@ -136,19 +136,19 @@
         on_object(text);
         if (!is_open(call)) return;
     }
-    if (call_->objects.overflowed()) close("told more than is taken at once");
+    if (call_->objects.overflowed()) close("object exceeds the size limit");
 }
 
 void DiscoveryWatch::on_object(const std::string& text) {
     const auto update = platform::parse_endpoint_list(text);
-    if (!update) return close("told what can't be read: " + update.error());
+    if (!update) return close("malformed endpoint list: " + update.error());
     if (call_->kind == WatchCall::list) on_list(*update);
     else on_update(*update);
 }
 
-// The answer to a call for the list is the complete list, whatever it says of itself.
+// Applies the response to a list call as a complete list, whether or not the object is marked as complete.
 void DiscoveryWatch::on_list(const platform::EndpointListUpdate& list) {
-    if (schedule_.list_known()) return close("told more than the list");
+    if (schedule_.list_known()) return close("second object in the response to a list call");
     drop(late_call_);
     (void)sequence_.accept(EndpointUpdateKind::snapshot, list.generation, list.endpoints.empty());
     schedule_.list_received();
@@ -161,12 +161,12 @@
     switch (sequence_.accept(kind, update.generation, update.endpoints.empty())) {
         case Decision::apply: return publish(update, kind);
         case Decision::ignore: return;
-        case Decision::out_of_order: return close("told changes that do not follow what it told before");
+        case Decision::out_of_order: return close("changes do not follow the list version in force");
     }
 }
 
 void DiscoveryWatch::on_done(UpstreamPool::Call call) {
-    if (is_open(call)) on_ended("ended the call");
+    if (is_open(call)) on_ended("response ended");
     else forget_late(call);
 }
 void DiscoveryWatch::on_failed(UpstreamPool::Call call, engine::ExchangeEnd, std::string detail) {
--- a/src/net/discovery_watch.hpp
+++ b/src/net/discovery_watch.hpp
@@ -1,9 +1,10 @@
-// Watches the platform's discovery service for its list of endpoints: requests the complete list, then opens
-// a watch of what changes after that version. Whenever the watch ends or stays silent for too long, both are
-// done again, so that no change in between is missed, whatever the versions of a discovery service that has
-// moved or restarted. Without a watch the last good list stays in force; malformed data closes the watch.
-// When to open and when to close is decided in membership/watch_schedule.hpp, what may be applied in
-// membership/update_sequence.hpp. One libuv loop, one thread. Errors are logged.
+// Follows the endpoint list of the platform's discovery service: requests the complete list, then opens a
+// watch of the changes after that version. When the watch ends, or delivers nothing for too long, it requests
+// the complete list again, so that no change in between is missed, even if the discovery service has moved or
+// restarted with other version numbers. While no watch is open the last valid list stays in force; malformed
+// data closes the watch. membership/watch_schedule.hpp decides when calls are opened and closed, and
+// membership/update_sequence.hpp which updates are applied. Not thread-safe: belongs to one libuv loop.
+// Errors are logged.
 #pragma once
 
 #include <uv.h>
@@ -29,7 +30,8 @@
 
 class DiscoveryWatch : public membership::EndpointSource, UpstreamPool::Handler {
 public:
-    // `known`: a cached list, which may be out of date; reported as EndpointUpdateKind::cached_snapshot.
+    // `known` is a cached list, which may be out of date; it is delivered as
+    // EndpointUpdateKind::cached_snapshot.
     DiscoveryWatch(uv_loop_t& loop, observe::Log& log, Address discovery,
                    std::optional<platform::EndpointListUpdate> known, WatchLimits limits = {});
     ~DiscoveryWatch() override;
@@ -37,7 +39,7 @@
     DiscoveryWatch& operator=(const DiscoveryWatch&) = delete;
 
     void start(membership::EndpointSink& sink) override;
-    // Watches another address from now on. The list stays in force until the first snapshot from there.
+    // Switches to another address. The list in force stays until the first snapshot from the new address.
     void move(Address discovery);
 
 private:
@@ -53,16 +55,16 @@
     void on_failed(UpstreamPool::Call call, engine::ExchangeEnd ending, std::string detail) override;
 
     [[nodiscard]] bool is_open(UpstreamPool::Call call) const { return call_ && call_->id == call; }
-    // Checks the schedule: ends a silent call, opens one that is due.
+    // Closes the open call if it has timed out, and opens the next one if it is due.
     void poll();
     void open(membership::WatchCall kind);
     void drop(std::optional<OpenCall>& call);
-    void on_silence();
+    void on_timeout();
     void resume_late_call();
     void forget_late(UpstreamPool::Call call) {
         if (late_call_ && late_call_->id == call) late_call_.reset();
     }
-    // Closes the call because of what it sent, or did not send.
+    // Cancels the open call because of invalid data or a time-out.
     void close(const std::string& reason);
     void on_ended(const std::string& reason);
     void on_object(const std::string& text);
@@ -78,15 +80,15 @@
     UpstreamPool pool_;
     membership::EndpointSink* sink_ = nullptr;
     Timer poll_timer_;
-    Timer watch_timer_;  // opens the watch in the next turn of the loop
+    Timer watch_timer_;  // opens the watch in the next turn of the loop after a list was received
     membership::WallClock wall_clock_;
     membership::StartTimes start_times_;
-    Time wall_clock_due_{};  // when it is observed next
+    Time wall_clock_due_{};  // time of the next observation of the wall clock
     membership::WatchSchedule schedule_;
     membership::UpdateSequence sequence_;
     UpstreamPool::Call last_call_ = 0;
     std::optional<OpenCall> call_;
-    std::optional<OpenCall> late_call_;  // for the list, given up by the schedule; it may still be answered
+    std::optional<OpenCall> late_call_;  // a list call that timed out; its response may still arrive
 };
 
 }  // namespace chalksail::net
--- a/src/net/edge_server.cpp
+++ b/src/net/edge_server.cpp
@@ -15,7 +15,7 @@
 namespace chalksail::net {
 namespace {
 
-// A shortage of descriptors makes many calls of accept() fail: they are logged as one line.
+// Limits the log to one line per interval while accept() fails repeatedly, as when file descriptors run out.
 constexpr Duration kAcceptErrorLogInterval = std::chrono::seconds(1);
 
 ClockOffset wall_clock_offset() {
@@ -27,9 +27,10 @@
     if (settings.vocabulary != config::Vocabulary::tokenizer) return nullptr;
     std::ifstream in(settings.tokenizer, std::ios::binary);
     if (!in) throw std::runtime_error("cache-events: " + settings.tokenizer + ": can't be read");
-    auto read = engine::Vocabulary::parse(std::string{std::istreambuf_iterator<char>(in), {}});
-    if (!read) throw std::runtime_error("cache-events: " + settings.tokenizer + ": " + read.error());
-    return std::make_shared<const engine::Vocabulary>(std::move(*read));
+    auto vocabulary = engine::Vocabulary::parse(std::string{std::istreambuf_iterator<char>(in), {}});
+    if (!vocabulary)
+        throw std::runtime_error("cache-events: " + settings.tokenizer + ": " + vocabulary.error());
+    return std::make_shared<const engine::Vocabulary>(std::move(*vocabulary));
 }
 
 std::chrono::milliseconds to_milliseconds(Duration duration) {
@@ -39,39 +40,39 @@
 }  // namespace
 
 EdgeServer::EdgeServer(uv_loop_t& loop, const config::EdgeSettings& settings, observe::Log& log,
-                       std::unique_ptr<membership::EndpointSource> list)
+                       std::unique_ptr<membership::EndpointSource> endpoint_source)
     : loop_(loop),
       settings_(settings),
       log_(log),
       metrics_(settings.name),
       edge_(settings, read_vocabulary(settings.cache_events)),
       certificates_(settings_, log),
-      list_(std::move(list)),
+      endpoint_source_(std::move(endpoint_source)),
       shutdown_(loop, *this, log, settings_.limits) {
-    if (list_ == nullptr) create_list_sources();
-    clients_ = std::make_unique<HttpServer>(loop_, static_cast<HttpServer::Handler&>(*this),
-                                            client_limits(settings_.limits));
+    if (endpoint_source_ == nullptr) create_endpoint_sources();
+    http_server_ = std::make_unique<HttpServer>(loop_, static_cast<HttpServer::Handler&>(*this),
+                                                client_limits(settings_.limits));
     if (settings_.admin)
         admin_ = std::make_unique<AdminEndpoint>(loop_, admin_limits(settings_.limits),
                                                  static_cast<AdminEndpoint::Gateway&>(*this),
                                                  admin_source_.get(), log_);
-    servers_ = std::make_unique<UpstreamPool>(loop_, static_cast<UpstreamPool::Handler&>(*this),
-                                              upstream_limits(settings_));
+    upstream_pool_ = std::make_unique<UpstreamPool>(loop_, static_cast<UpstreamPool::Handler&>(*this),
+                                                    upstream_limits(settings_));
     open_cache_feed();
-    effects_.emplace(EffectExecutor::Resources{*clients_, *servers_, certificates_, log_, metrics_,
+    effects_.emplace(EffectExecutor::Resources{*http_server_, *upstream_pool_, certificates_, log_, metrics_,
                                                cache_feed_.get(), cache_snapshots_.get(), admin_ != nullptr});
     listen();
     scheduler_.emplace(loop_, [this](Time turn_began) { on_turn(turn_began); });
     start_tls_polling();
-    start_list_sources();
+    start_endpoint_sources();
     dispatch();
 }
 
 EdgeServer::~EdgeServer() { finish(); }
 
-// ---- the start ----
+// ---- startup ----
 
-void EdgeServer::create_list_sources() {
+void EdgeServer::create_endpoint_sources() {
     std::set<std::string> kinds;
     for (const auto& kind : settings_.kinds) kinds.insert(kind.name);
     settings_source_ = std::make_unique<SettingsSource>(settings_);
@@ -79,9 +80,9 @@
 }
 
 void EdgeServer::open_cache_feed() {
-    const bool published = std::any_of(settings_.kinds.begin(), settings_.kinds.end(),
-                                       [](const auto& kind) { return kind.cache_events; });
-    if (!published) return;
+    const bool any_publishes = std::any_of(settings_.kinds.begin(), settings_.kinds.end(),
+                                           [](const auto& kind) { return kind.cache_events; });
+    if (!any_publishes) return;
     const auto& events = settings_.cache_events;
     cache_feed_ = std::make_unique<CacheFeed>(loop_, static_cast<CacheFeed::Handler&>(*this),
                                               cache_feed_limits(events));
@@ -93,9 +94,9 @@
 
 void EdgeServer::listen() {
     const auto tls = certificates_.listener_context();
-    if (tls) clients_->set_tls(tls);
-    address_ = clients_->listen(settings_.listen,
-                                tls ? HttpServer::Transport::tls : HttpServer::Transport::plaintext);
+    if (tls) http_server_->set_tls(tls);
+    address_ = http_server_->listen(settings_.listen,
+                                    tls ? HttpServer::Transport::tls : HttpServer::Transport::plaintext);
     if (admin_) admin_address_ = admin_->listen(*settings_.admin);
 }
 
@@ -109,13 +110,13 @@
     tls_poll_timer_->unref();
 }
 
-void EdgeServer::start_list_sources() {
-    if (list_) return list_->start(*this);
+void EdgeServer::start_endpoint_sources() {
+    if (endpoint_source_) return endpoint_source_->start(*this);
     admin_source_->start(*this);
     settings_source_->start(*this);
 }
 
-// ---- turns of the loop ----
+// ---- turns of the event loop ----
 
 void EdgeServer::enqueue(core::Input input) {
     inputs_.emplace_back(std::move(input));
@@ -136,12 +137,12 @@
     if (dispatching_ || finished_) return;
     dispatching_ = true;
     for (;;) {
-        servers_->report_written();
+        upstream_pool_->report_written();
         const Time now = uv_now_time();
         const auto wake = edge_.next_wake();
         if (inputs_.empty() && (!wake || *wake > now)) break;
         for (auto& effect : edge_.step(now, std::exchange(inputs_, {}))) effects_->execute(effect);
-        clients_->flush();
+        http_server_->flush();
     }
     if (admin_) admin_->flush();
     scheduler_->wait_until(edge_.next_wake());
@@ -151,17 +152,17 @@
 void EdgeServer::log_event_loop_lag(Time turn_began) {
     const auto report = event_loop_lag_.ended(turn_began, uv_now_time());
     if (!report) return;
-    log_.warn("slow_turn", "the loop stood still for " +
+    log_.warn("slow_turn", "event loop blocked for up to " +
                                std::to_string(to_milliseconds(report->longest).count()) +
-                               " ms at worst; such turns: " + std::to_string(report->count) + "; " +
-                               std::to_string(edge_.gauges().open_requests) + " requests are open, " +
+                               " ms; slow turns since the last report: " + std::to_string(report->count) +
+                               "; " + std::to_string(edge_.gauges().open_requests) + " requests open, " +
                                std::to_string(edge_.endpoint_count()) + " servers known");
 }
 
 void EdgeServer::reload_tls() {
     const auto changes = certificates_.reload();
-    if (changes.trust) inputs_.emplace_back(core::TrustStoreChanged{});
-    if (changes.listener) clients_->set_tls(certificates_.listener_context());
+    if (changes.server_trust) inputs_.emplace_back(core::TrustStoreChanged{});
+    if (changes.listener) http_server_->set_tls(certificates_.listener_context());
 }
 
 // ---- inputs ----
@@ -178,8 +179,9 @@
     accept_errors_ += 1;
     if (now < accept_error_logged_ + kAcceptErrorLogInterval) return;
     accept_error_logged_ = now;
-    log_.warn("accept_failed", std::string(uv_err_name(-error)) + "; connections wait in the backlog; " +
-                                   std::to_string(accept_errors_) + " such errors since the start");
+    log_.warn("accept_failed", std::string(uv_err_name(-error)) +
+                                   "; new connections wait in the listen backlog; " +
+                                   std::to_string(accept_errors_) + " accept errors since startup");
 }
 void EdgeServer::on_backlog(HttpServer::Peer peer, bool full) { enqueue(core::ClientBacklog{{peer}, full}); }
 
@@ -207,7 +209,7 @@
 
 void EdgeServer::apply(membership::EndpointList update) { enqueue(std::move(update)); }
 
-// ---- the admin listener's pages ----
+// ---- pages of the admin listener ----
 
 std::vector<membership::EndpointConfig> EdgeServer::endpoints() const { return edge_.endpoints(); }
 
@@ -215,9 +217,9 @@
     const std::int64_t unix_now = std::time(nullptr);
     GatewayGauges gauges;
     gauges.core = edge_.gauges();
-    gauges.clients = clients_->counts();
+    gauges.clients = http_server_->counts();
     gauges.accept_errors = accept_errors_;
-    gauges.servers = servers_->counts();
+    gauges.servers = upstream_pool_->counts();
     gauges.certificates = certificates_.counts();
     if (const auto tls = certificates_.listener_context())
         gauges.listener_valid_seconds = tls->valid_until() - unix_now;
@@ -228,24 +230,25 @@
     return metrics_.page();
 }
 
-// ---- the shutdown ----
+// ---- shutdown ----
 
 core::Shutdown::Outstanding EdgeServer::outstanding() const {
     const auto gauges = edge_.gauges();
-    return {gauges.open_requests, gauges.calls, clients_->counts().connections, clients_->listening()};
+    return {gauges.open_requests, gauges.calls, http_server_->counts().connections,
+            http_server_->listening()};
 }
 
 void EdgeServer::announce_shutdown(Time answers_until) { enqueue(core::ShutdownAnnounced{answers_until}); }
 
 void EdgeServer::stop_accepting() {
-    clients_->stop_listening();
-    clients_->drain();
+    http_server_->stop_listening();
+    http_server_->drain();
     enqueue(core::DrainStarted{});
 }
 
 void EdgeServer::answer_open_requests() { enqueue(core::DrainExpired{}); }
 
-void EdgeServer::end_connections() { clients_->end_all(); }
+void EdgeServer::end_connections() { http_server_->end_all(); }
 
 void EdgeServer::finish() {
     if (finished_) return;
@@ -253,13 +256,13 @@
     shutdown_.end();
     scheduler_.reset();
     tls_poll_timer_.reset();
-    list_.reset();
+    endpoint_source_.reset();
     cache_feed_.reset();
     if (cache_snapshots_) cache_snapshots_->flush();
     cache_snapshots_.reset();
-    clients_.reset();
+    http_server_.reset();
     admin_.reset();
-    servers_.reset();
+    upstream_pool_.reset();
     log_.flush();
 }
 
--- a/src/net/edge_server.hpp
+++ b/src/net/edge_server.hpp
@@ -1,10 +1,10 @@
-// The gateway on sockets: hands what comes from clients, servers, cache events and the endpoint list to the
-// core as inputs, runs the core's steps behind the reads of each turn of the loop, and has its effects
-// carried out. Decides nothing.
+// Connects the gateway's core to the network: passes what clients, servers, cache events and endpoint sources
+// send to the core as inputs, runs the core once per turn of the event loop after the sockets were read, and
+// has the core's effects executed. Makes no decisions.
 //
-// Owns the listener, the connections to servers, the admin listener and the caches' subscriptions. One libuv
-// loop, one thread: the one that runs the loop. Errors: the constructor throws (see there); later ones are
-// logged, and never end the gateway.
+// Owns the client listener, the connections to servers, the admin listener and the subscriptions to cache
+// events. Not thread-safe: it belongs to one libuv loop and the thread that runs it. The constructor reports
+// errors by exceptions; later errors are logged and never end the gateway.
 #pragma once
 
 #include <uv.h>
@@ -38,25 +38,25 @@
                    AdminEndpoint::Gateway,
                    GracefulShutdown::Gateway {
 public:
-    // Throws std::runtime_error if an address can't be listened on or a file can't be used,
-    // std::invalid_argument for bad settings. `list`: where the list of endpoints comes from; nullptr: the
-    // settings' own, and the admin listener.
+    // Throws std::runtime_error if an address can't be listened on or a file can't be used, and
+    // std::invalid_argument for invalid settings. `endpoint_source` delivers the endpoint list; with nullptr
+    // the settings and the admin listener deliver it.
     EdgeServer(uv_loop_t& loop, const config::EdgeSettings& settings, observe::Log& log,
-               std::unique_ptr<membership::EndpointSource> list = nullptr);
+               std::unique_ptr<membership::EndpointSource> endpoint_source = nullptr);
     ~EdgeServer() override;
     EdgeServer(const EdgeServer&) = delete;
     EdgeServer& operator=(const EdgeServer&) = delete;
 
     [[nodiscard]] const Address& address() const { return address_; }
-    // Port 0: there is no admin listener.
+    // Has port 0 if there is no admin listener.
     [[nodiscard]] const Address& admin_address() const { return admin_address_; }
-    // Begins the shutdown (core/shutdown.hpp). When it is over everything is closed, so that the loop ends.
+    // Begins the graceful shutdown (core/shutdown.hpp). At its end all handles are closed, so the loop exits.
     void drain() { shutdown_.begin(); }
-    // Checks the TLS files for changes. Also done by itself, every EdgeLimits::tls_poll_interval.
+    // Checks the TLS files for changes. A timer does the same every EdgeLimits::tls_poll_interval.
     void reload_tls();
     [[nodiscard]] bool finished() const { return finished_; }
     [[nodiscard]] core::Gauges gauges() const { return edge_.gauges(); }
-    // The list in force, for operators.
+    // Returns the endpoint list in force, as operators see it on the admin listener.
     [[nodiscard]] std::vector<membership::EndpointConfig> endpoints() const override;
 
 private:
@@ -78,7 +78,7 @@
     void on_cache_message(const std::string& server, std::uint64_t sequence, std::string payload,
                           bool replayed) override;
     void on_cache_replay_ended(const std::string& server) override;
-    // membership::ListSink
+    // membership::EndpointSink
     void apply(membership::EndpointList update) override;
     // AdminEndpoint::Gateway
     [[nodiscard]] std::string metrics_page() override;
@@ -92,17 +92,17 @@
     void poll_soon() override { dispatch_soon(); }
     void finish() override;
 
-    void create_list_sources();
+    void create_endpoint_sources();
     void open_cache_feed();
     void listen();
     void start_tls_polling();
-    void start_list_sources();
+    void start_endpoint_sources();
 
     void enqueue(core::Input input);
-    // Runs dispatch() in this turn of the loop, once its sockets were read.
+    // Runs dispatch() as soon as the sockets of the current turn of the loop were read.
     void dispatch_soon();
     void on_turn(Time turn_began);
-    // Steps the core, and has its effects carried out, until there are no more inputs.
+    // Steps the core and executes its effects until no input is left and no wake-up time of the core is due.
     void dispatch();
     void log_event_loop_lag(Time turn_began);
 
@@ -113,19 +113,19 @@
     core::Edge edge_;
     std::vector<core::Input> inputs_;
     TlsCertificates certificates_;
-    std::unique_ptr<membership::EndpointSource> list_;
-    std::unique_ptr<SettingsSource> settings_source_;  // where there is no list_
-    std::unique_ptr<AdminSource> admin_source_;        // the same
-    std::unique_ptr<HttpServer> clients_;
-    std::unique_ptr<AdminEndpoint> admin_;  // nullptr: there is no admin listener
-    std::unique_ptr<UpstreamPool> servers_;
-    std::unique_ptr<CacheSnapshotStore> cache_snapshots_;  // nullptr: none are stored
-    std::unique_ptr<CacheFeed> cache_feed_;                // nullptr: no kind publishes cache events
+    std::unique_ptr<membership::EndpointSource> endpoint_source_;  // as passed to the constructor, or nullptr
+    std::unique_ptr<SettingsSource> settings_source_;              // used if endpoint_source_ is nullptr
+    std::unique_ptr<AdminSource> admin_source_;                    // used if endpoint_source_ is nullptr
+    std::unique_ptr<HttpServer> http_server_;
+    std::unique_ptr<AdminEndpoint> admin_;  // nullptr if the settings name no admin address
+    std::unique_ptr<UpstreamPool> upstream_pool_;
+    std::unique_ptr<CacheSnapshotStore> cache_snapshots_;  // nullptr if no snapshots are stored
+    std::unique_ptr<CacheFeed> cache_feed_;  // nullptr if no kind of server publishes cache events
     std::optional<EffectExecutor> effects_;
     Address address_;
     Address admin_address_;
-    std::optional<TurnScheduler> scheduler_;  // until finish()
-    std::optional<Timer> tls_poll_timer_;     // the same, where TLS is used
+    std::optional<TurnScheduler> scheduler_;  // empty after finish()
+    std::optional<Timer> tls_poll_timer_;     // empty without TLS, and after finish()
     GracefulShutdown shutdown_;
     observe::EventLoopLag event_loop_lag_;
     std::uint64_t accept_errors_ = 0;
--- a/src/net/edge_server_limits.hpp
+++ b/src/net/edge_server_limits.hpp
@@ -1,4 +1,5 @@
-// The limits of the gateway's listeners, connections and subscriptions, as its settings give them. Pure.
+// Derives the limits of the gateway's listeners, connections and subscriptions from its settings. Pure
+// functions.
 #pragma once
 
 #include "config/settings.hpp"
--- a/src/net/effect_executor.cpp
+++ b/src/net/effect_executor.cpp
@@ -7,23 +7,25 @@
 namespace chalksail::net {
 
 void EffectExecutor::execute(core::Output& effect) {
-    std::visit([this](auto& one) { apply(one); }, effect);
+    std::visit([this](auto& alternative) { apply(alternative); }, effect);
 }
 
 // ---- responses to clients ----
 
 void EffectExecutor::apply(core::SendResponse& effect) {
-    resources_.clients.reply(effect.client.value, effect.status, std::move(effect.headers), effect.body);
+    resources_.http_server.reply(effect.client.value, effect.status, std::move(effect.headers), effect.body);
 }
 void EffectExecutor::apply(core::BeginStream& effect) {
-    resources_.clients.begin_stream(effect.client.value, std::move(effect.headers));
+    resources_.http_server.begin_stream(effect.client.value, std::move(effect.headers));
 }
 void EffectExecutor::apply(core::SendStreamBytes& effect) {
-    resources_.clients.stream(effect.client.value, effect.bytes);
+    resources_.http_server.stream(effect.client.value, effect.bytes);
+}
+void EffectExecutor::apply(core::EndStream& effect) {
+    resources_.http_server.end_stream(effect.client.value);
 }
-void EffectExecutor::apply(core::EndStream& effect) { resources_.clients.end_stream(effect.client.value); }
 void EffectExecutor::apply(core::AbortStream& effect) {
-    resources_.clients.abort_stream(effect.client.value);
+    resources_.http_server.abort_stream(effect.client.value);
 }
 
 // ---- calls to servers ----
@@ -31,17 +33,23 @@
 void EffectExecutor::apply(core::Call& effect) {
     const Target target =
         resources_.certificates.target_of(effect.address, effect.server_kind, effect.server);
-    if (effect.kind == core::CallKind::verify) return resources_.servers.connect(effect.call.value, target);
+    if (effect.kind == core::CallKind::verify)
+        return resources_.upstream_pool.connect(effect.call.value, target);
     UpstreamRequest request{std::move(effect.method), std::move(effect.target), std::move(effect.headers),
                             std::move(effect.body)};
-    const bool beyond_limit = effect.kind == core::CallKind::release;
-    resources_.servers.start(effect.call.value, target, std::move(request), {effect.priority, beyond_limit});
+    const bool exempt_from_limit = effect.kind == core::CallKind::release;
+    resources_.upstream_pool.start(effect.call.value, target, std::move(request),
+                                   {effect.priority, exempt_from_limit});
+}
+void EffectExecutor::apply(core::AbortCall& effect) { resources_.upstream_pool.cancel(effect.call.value); }
+void EffectExecutor::apply(core::HalfCloseCall& effect) {
+    resources_.upstream_pool.half_close(effect.call.value);
+}
+void EffectExecutor::apply(core::CompleteCall& effect) {
+    resources_.upstream_pool.complete(effect.call.value);
 }
-void EffectExecutor::apply(core::AbortCall& effect) { resources_.servers.cancel(effect.call.value); }
-void EffectExecutor::apply(core::HalfCloseCall& effect) { resources_.servers.half_close(effect.call.value); }
-void EffectExecutor::apply(core::CompleteCall& effect) { resources_.servers.complete(effect.call.value); }
 void EffectExecutor::apply(core::SetCallPaused& effect) {
-    resources_.servers.set_paused(effect.call.value, effect.paused);
+    resources_.upstream_pool.set_paused(effect.call.value, effect.paused);
 }
 
 // ---- cache events ----
@@ -50,7 +58,7 @@
     try {
         resources_.cache_feed->subscribe(effect.server, effect.events, effect.replay);
     } catch (const std::runtime_error& error) {
-        // What it has cached is estimated, as of a server that publishes no events.
+        // The server's cache is then estimated, as for a server that publishes no events.
         resources_.log.error("cache_events", error.what());
     }
 }
--- a/src/net/effect_executor.hpp
+++ b/src/net/effect_executor.hpp
@@ -1,5 +1,5 @@
-// Carries out the effects that the core returns, on the gateway's sockets, stores, logs and metrics. Decides
-// nothing. One thread; what it is given outlives it. Errors are logged.
+// Executes the effects that the core returns, on the gateway's sockets, stores, logs and metrics. Makes no
+// decisions. Not thread-safe. The resources must outlive the executor. Errors are logged.
 #pragma once
 
 #include "core/edge.hpp"
@@ -16,14 +16,14 @@
 class EffectExecutor {
 public:
     struct Resources {
-        HttpServer& clients;
-        UpstreamPool& servers;
+        HttpServer& http_server;
+        UpstreamPool& upstream_pool;
         TlsCertificates& certificates;
         observe::Log& log;
         observe::Metrics& metrics;
-        CacheFeed* cache_feed = nullptr;                // nullptr: no kind of server publishes cache events
-        CacheSnapshotStore* cache_snapshots = nullptr;  // nullptr: none are stored
-        bool metrics_exposed = false;                   // else records are logged only
+        CacheFeed* cache_feed = nullptr;                // nullptr if no kind of server publishes cache events
+        CacheSnapshotStore* cache_snapshots = nullptr;  // nullptr if no snapshots are stored
+        bool metrics_exposed = false;                   // if false, records are logged only
     };
     explicit EffectExecutor(Resources resources) : resources_(resources) {}
 
--- a/src/net/gateway_gauges.cpp
+++ b/src/net/gateway_gauges.cpp
@@ -18,8 +18,8 @@
     observe::Metrics& metrics_;
 };
 
-// A kind's name as a part of a metric's.
-std::string metric_word(std::string name) {
+// Returns the name with '_' in place of each character that is not alphanumeric, for use in a metric's name.
+std::string sanitize_for_metric_name(std::string name) {
     for (auto& character : name)
         if (std::isalnum(static_cast<unsigned char>(character)) == 0) character = '_';
     return name;
@@ -66,7 +66,7 @@
         out.set("listener_tls_handshakes_failed", gauges.clients.handshakes_failed);
     }
     for (const auto& [kind, seconds] : gauges.servers_valid_seconds)
-        out.set("tls_valid_seconds_" + metric_word(kind), seconds);
+        out.set("tls_valid_seconds_" + sanitize_for_metric_name(kind), seconds);
 }
 
 void write_caches(const GatewayGauges& gauges, GaugeWriter& out) {
@@ -87,7 +87,7 @@
 
 }  // namespace
 
-// The page shows gauges in the order in which they were first set: it stays as it is.
+// Sets the gauges in a fixed order: the page lists them in the order in which they were first set.
 void publish(const GatewayGauges& gauges, observe::Metrics& metrics) {
     GaugeWriter out(metrics);
     write_requests(gauges.core, out);
--- a/src/net/gateway_gauges.hpp
+++ b/src/net/gateway_gauges.hpp
@@ -1,5 +1,5 @@
-// The gateway's gauges on its metrics page, read when the page is requested. docs/operators/gateway.md lists
-// them. Pure but for the metrics that are set.
+// The gauges of the gateway's metrics page, collected when the page is requested. docs/operators/gateway.md
+// documents them. No side effects apart from setting the metrics.
 #pragma once
 
 #include <cstdint>
@@ -22,9 +22,9 @@
     std::uint64_t accept_errors = 0;
     UpstreamPool::Counts servers;
     TlsCertificates::Counts certificates;
-    std::optional<std::int64_t> listener_valid_seconds;         // nothing: the listener has no TLS
-    std::map<std::string, std::int64_t> servers_valid_seconds;  // by kind of server, of those with TLS
-    std::optional<CacheFeed::Counts> cache_feed;                // nothing: no kind publishes cache events
+    std::optional<std::int64_t> listener_valid_seconds;         // empty if the listener does not use TLS
+    std::map<std::string, std::int64_t> servers_valid_seconds;  // by kind of server, for kinds that use TLS
+    std::optional<CacheFeed::Counts> cache_feed;  // empty if no kind of server publishes cache events
     std::uint64_t snapshots_written = 0;
 };
 
--- a/src/net/graceful_shutdown.cpp
+++ b/src/net/graceful_shutdown.cpp
@@ -8,8 +8,8 @@
 namespace chalksail::net {
 namespace {
 
-constexpr std::chrono::milliseconds kShutdownPollInterval{
-    20};  // the steps are tens of milliseconds apart or more
+// The steps of a shutdown are at least tens of milliseconds apart.
+constexpr std::chrono::milliseconds kShutdownPollInterval{20};
 
 std::string milliseconds_text(Duration d) {
     return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(d).count()) + " ms";
@@ -25,11 +25,11 @@
     if (schedule_) return;
     const Time now = uv_now_time();
     schedule_.emplace(now, limits_);
-    log_.info("drain", "stops accepting; " + std::to_string(gateway_.outstanding().requests) +
-                           " requests are open; new ones are taken for " +
+    log_.info("drain", "shutdown started; " + std::to_string(gateway_.outstanding().requests) +
+                           " requests open; new requests are accepted for another " +
                            milliseconds_text(limits_.drain_grace));
-    // Clients continue on the connections that they have: closing one early may cost the request that is on
-    // its way there.
+    // During the grace period connections stay open: closing one could lose a request that its client has
+    // just sent on it.
     if (limits_.drain_grace > Duration::zero())
         gateway_.announce_shutdown(now + limits_.drain_answer_timeout);
     else take_step(schedule_->next(now));
@@ -52,8 +52,8 @@
         case core::Shutdown::Step::wait: return;
         case core::Shutdown::Step::stop_accepting: return gateway_.stop_accepting();
         case core::Shutdown::Step::answer_all:
-            log_.warn("drain", "time is over; " + std::to_string(gateway_.outstanding().requests) +
-                                   " requests are ended");
+            log_.warn("drain", "drain time limit reached; ending " +
+                                   std::to_string(gateway_.outstanding().requests) + " open requests");
             return gateway_.answer_open_requests();
         case core::Shutdown::Step::end_connections: return gateway_.end_connections();
     }
@@ -62,7 +62,7 @@
 void GracefulShutdown::end() {
     poll_timer_.reset();
     if (!schedule_) return;
-    log_.info("drain", "ends after " + milliseconds_text(schedule_->age(uv_now_time())) + "; " +
+    log_.info("drain", "shutdown ended after " + milliseconds_text(schedule_->age(uv_now_time())) + "; " +
                            std::to_string(gateway_.outstanding().requests) + " requests unanswered");
 }
 
--- a/src/net/graceful_shutdown.hpp
+++ b/src/net/graceful_shutdown.hpp
@@ -1,5 +1,5 @@
-// Carries out the steps of a graceful shutdown on a libuv loop. When each step comes, and when the process
-// may end, is decided in core/shutdown.hpp. One loop, one thread; no errors.
+// Executes the steps of a graceful shutdown on a libuv loop. core/shutdown.hpp decides when each step is due
+// and when the process may exit. Not thread-safe: belongs to one loop. No errors.
 #pragma once
 
 #include <uv.h>
@@ -15,18 +15,19 @@
 
 class GracefulShutdown {
 public:
-    // What the steps do: the gateway's part.
+    // The operations of the gateway that the steps call.
     struct Gateway {
         virtual ~Gateway() = default;
         [[nodiscard]] virtual core::Shutdown::Outstanding outstanding() const = 0;
-        // Requests are still accepted; each is answered by then.
+        // Announces the shutdown to the core. Requests are still accepted; each is answered by
+        // `answers_until`.
         virtual void announce_shutdown(Time answers_until) = 0;
         virtual void stop_accepting() = 0;
         virtual void answer_open_requests() = 0;
         virtual void end_connections() = 0;
-        // poll() is to be called in the next turn of the loop.
+        // Requests a call of poll() in the next turn of the loop.
         virtual void poll_soon() = 0;
-        // Everything is over: closes what is left.
+        // Closes everything that is still open. The last step.
         virtual void finish() = 0;
     };
 
@@ -34,11 +35,11 @@
 
     void begin();
     [[nodiscard]] bool begun() const { return schedule_.has_value(); }
-    // Takes the steps that are due. To be called behind the reads of each turn. Guards against a listener
-    // that is closed over connections that are not accepted yet: with what was written to them they would be
-    // reset.
+    // Takes the steps that are due. Must be called in each turn of the loop after the sockets were read:
+    // closing the listener resets connections that were not accepted yet, and the requests written to them
+    // would be lost.
     void poll();
-    // Logs how it ended, and stops its timer.
+    // Logs the result of the shutdown and stops the timer.
     void end();
 
 private:
@@ -48,8 +49,8 @@
     Gateway& gateway_;
     observe::Log& log_;
     config::EdgeLimits limits_;
-    std::optional<core::Shutdown> schedule_;  // from begin() on
-    std::optional<Timer> poll_timer_;         // the same, until end()
+    std::optional<core::Shutdown> schedule_;  // empty before begin()
+    std::optional<Timer> poll_timer_;         // set from begin() to end()
     bool poll_due_ = false;
 };
 
--- a/src/net/loop_clock.hpp
+++ b/src/net/loop_clock.hpp
@@ -8,7 +8,7 @@
 
 namespace chalksail::net {
 
-// A monotonic clock, in nanoseconds: the one that libuv's timers run by.
+// Returns the current time of the monotonic clock that libuv's timers use, in nanoseconds.
 [[nodiscard]] inline Time uv_now_time() { return Time(Duration(static_cast<std::int64_t>(uv_hrtime()))); }
 
 }  // namespace chalksail::net
--- a/src/net/tls_certificates.cpp
+++ b/src/net/tls_certificates.cpp
@@ -29,7 +29,7 @@
 TlsCertificates::Changes TlsCertificates::reload() {
     Changes changes;
     for (auto& [kind, reloader] : by_kind_)
-        if (reload(reloader, "kind '" + kind + "'")) changes.trust = true;
+        if (reload(reloader, "kind '" + kind + "'")) changes.server_trust = true;
     if (listener_) changes.listener = reload(*listener_, "listener");
     return changes;
 }
--- a/src/net/tls_certificates.hpp
+++ b/src/net/tls_certificates.hpp
@@ -1,7 +1,7 @@
-// The TLS certificates of a gateway: those that it trusts for each kind of server, and those of its own
-// listener. Read at the start, and again whenever their files change. Not a thread of its own; the owner
-// calls reload(). Errors: the constructor throws std::runtime_error for files that can't be used; later ones
-// are logged, and the last good files stay in use.
+// The TLS files of a gateway: the trust stores for each kind of server, and the certificate of its client
+// listener. Loaded at startup and again after their files change. Has no timer or thread of its own: the
+// owner calls reload(). The constructor throws std::runtime_error for files that can't be used; later errors
+// are logged, and the last valid files stay in use.
 #pragma once
 
 #include <cstdint>
@@ -22,20 +22,20 @@
     TlsCertificates(const config::EdgeSettings& settings, observe::Log& log);
 
     struct Changes {
-        bool trust = false;     // of some kind of server: what was verified before is not any more
-        bool listener = false;  // listener_context() is a new one
+        bool server_trust = false;  // of a kind of server: earlier verification results are no longer valid
+        bool listener = false;      // listener_context() returns a new context
     };
-    // Checks the files, and uses those that have changed and are good for connections from now on.
+    // Checks the files for changes; valid new files apply to new connections.
     Changes reload();
 
-    // Neither servers nor the listener use TLS.
+    // Returns true if neither a kind of server nor the listener uses TLS.
     [[nodiscard]] bool empty() const { return by_kind_.empty() && !listener_; }
-    // nullptr: clients connect without TLS.
+    // Returns nullptr if clients connect without TLS.
     [[nodiscard]] std::shared_ptr<tls::Context> listener_context() const;
-    // How a server of this kind is connected to.
+    // Returns the connection target of a server of this kind, with its TLS parameters.
     [[nodiscard]] Target target_of(const Address& address, const std::string& server_kind,
                                    const std::string& server);
-    // Seconds until each kind's files expire.
+    // Returns the number of seconds until the files of each kind expire.
     [[nodiscard]] std::map<std::string, std::int64_t> valid_seconds(std::int64_t unix_now) const;
 
     struct Counts {
@@ -45,7 +45,7 @@
     [[nodiscard]] const Counts& counts() const { return counts_; }
 
 private:
-    // Whether its files were replaced.
+    // Returns whether the files were replaced.
     bool reload(tls::CertificateReloader& reloader, const std::string& owner);
 
     observe::Log& log_;
--- a/src/net/turn_scheduler.cpp
+++ b/src/net/turn_scheduler.cpp
@@ -9,11 +9,11 @@
 
 TurnScheduler::TurnScheduler(uv_loop_t& loop, std::function<void(Time turn_began)> on_turn)
     : loop_(loop),
-      keep_turning_(loop, [] {}),
-      behind_reads_(loop, [this, on_turn = std::move(on_turn)] { on_turn(turn_began()); }),
+      no_wait_(loop, [] {}),
+      after_reads_(loop, [this, on_turn = std::move(on_turn)] { on_turn(turn_began()); }),
       wake_timer_(loop, [this] { run_soon(); }) {
-    keep_turning_.unref();
-    behind_reads_.unref();
+    no_wait_.unref();
+    after_reads_.unref();
 }
 
 Time TurnScheduler::turn_began() const {
@@ -21,7 +21,7 @@
 }
 
 void TurnScheduler::wait_until(std::optional<Time> wake) {
-    keep_turning_.stop();
+    no_wait_.stop();
     if (!wake) return wake_timer_.stop();
     const auto remaining = std::chrono::ceil<std::chrono::milliseconds>(
         std::chrono::duration_cast<std::chrono::microseconds>(*wake - uv_now_time()));
--- a/src/net/turn_scheduler.hpp
+++ b/src/net/turn_scheduler.hpp
@@ -1,5 +1,5 @@
-// Ties a step-by-step state machine to a libuv loop: runs it once in each turn of the loop, behind the reads
-// of the sockets, and wakes the loop at the time that it requests. One loop, one thread; no errors.
+// Runs a state machine on a libuv loop: once in each turn, after the sockets were read, and at the wake-up
+// time that it requests. Not thread-safe: belongs to one loop. No errors.
 #pragma once
 
 #include <uv.h>
@@ -14,22 +14,23 @@
 
 class TurnScheduler {
 public:
-    // `on_turn` is called in each turn with the time at which that turn began to read its sockets, exact to
-    // the loop's milliseconds. It may destroy this.
+    // Calls `on_turn` in each turn with the time at which that turn began to read its sockets, with the
+    // loop's resolution of 1 ms. `on_turn` may destroy the scheduler.
     TurnScheduler(uv_loop_t& loop, std::function<void(Time turn_began)> on_turn);
 
-    // The next turn comes at once, without waiting for a socket. Timers run before the sockets are read; what
-    // they cause is done behind the reads, so that data that has come counts before what a time-out decides.
-    void run_soon() { keep_turning_.start(); }
-    // Nothing is left to do until `wake`, or until a socket has something. Nothing: no time is known.
+    // Makes the loop begin its next turn without waiting for a socket. libuv runs timers before it reads the
+    // sockets; work that a timer requests runs after the reads, so that data that has arrived is processed
+    // before a time-out takes effect.
+    void run_soon() { no_wait_.start(); }
+    // Lets the loop wait until `wake` or until a socket is ready; without a time, until a socket is ready.
     void wait_until(std::optional<Time> wake);
 
 private:
     [[nodiscard]] Time turn_began() const;
 
     uv_loop_t& loop_;
-    IdleHandle keep_turning_;  // while it is active the loop does not wait for its sockets
-    CheckHandle behind_reads_;
+    IdleHandle no_wait_;       // while active, the loop polls its sockets without waiting
+    CheckHandle after_reads_;  // runs `on_turn`
     Timer wake_timer_;
 };
 
--- a/tests/faults/discovery_soak_test.cpp
+++ b/tests/faults/discovery_soak_test.cpp
@@ -1,6 +1,7 @@
-// Gateways as real processes beside a discovery service whose list changes while watches break, fall silent
-// and come late, gateways are killed and told to end, discovery moves, and starts anew: drawn from a seed.
-// Behind each step, once the gateway has the current list, requests go only to servers that are on it.
+// Runs real gateway processes against a discovery service whose list changes while watches break or stall,
+// responses are late, gateways are terminated and killed, and the discovery service moves or restarts. A seed
+// determines the steps. After each step, once the gateway has the current list, requests must go only to
+// servers on that list.
 #include <random>
 
 #include "faults/process_rig.hpp"
@@ -23,21 +24,21 @@
     static constexpr int kIdleClients = 60;
 
     DiscoverySoak() : draw_(GetParam()) {
-        for (int i = 0; i < kReaders; ++i) add_server("r" + std::to_string(i), "reader", kRead);
+        for (int i = 0; i < kReaders; ++i) add_server("r" + std::to_string(i), "reader", kAcceptedResponse);
         for (int i = 0; i < kWriters; ++i) add_server("w" + std::to_string(i), "writer", kStream);
         constexpr std::chrono::milliseconds kDelays[] = {0ms, 0ms, 150ms, 1000ms};
         longest_delay_ = kDelays[draw_() % std::size(kDelays)];
         with_idle_clients_ = draw_() % 3 == 0;
-        service_ = make_service({drawn_list()});
+        service_ = make_service({random_list()});
     }
     ~DiscoverySoak() override {
-        break_down();
+        stop_all();
         due_.clear();
         service_.reset();
         servers_.clear();
     }
 
-    // ---- the stand-ins ----
+    // ---- stand-ins ----
 
     struct Server {
         std::string kind;
@@ -50,7 +51,7 @@
         server.process = std::make_unique<RawServer>(loop, [&server, response](RawServer::Peer& p) {
             const bool release = p.server->last.starts_with("DELETE");
             server.attempts += release ? 0 : 1;
-            p.send(release ? kLetGo : response);
+            p.send(release ? kNoContentResponse : response);
         });
     }
     std::unique_ptr<DiscoveryStandIn> make_service(std::vector<Instances> history) {
@@ -58,7 +59,7 @@
             loop, std::move(history),
             [this](RawServer::Peer& peer, const std::string& bytes) { deliver(peer, bytes); });
     }
-    // At once, or late and in two parts; what is sent on one connection keeps its order.
+    // Sends at once, or delayed and in two parts; bytes on one connection keep their order.
     void deliver(RawServer::Peer& peer, const std::string& bytes) {
         if (longest_delay_ == 0ms) return peer.send(bytes);
         const auto middle = bytes.size() / 2;
@@ -68,11 +69,11 @@
         at += up_to(150ms);
         due_.emplace(at, [&peer, part = bytes.substr(middle)] { peer.send(part); });
     }
-    std::chrono::milliseconds up_to(std::chrono::milliseconds most) {
-        return std::chrono::milliseconds(draw_() % static_cast<unsigned>(most.count() + 1));
+    std::chrono::milliseconds up_to(std::chrono::milliseconds max) {
+        return std::chrono::milliseconds(draw_() % static_cast<unsigned>(max.count() + 1));
     }
-    // At least one server of each kind.
-    Instances drawn_list() {
+    // Returns a random list with at least one server of each kind.
+    Instances random_list() {
         Instances out;
         for (const auto& [name, server] : servers_)
             if (draw_() % 2 == 0) out[name] = {server.kind, server.process->address};
@@ -93,22 +94,23 @@
         });
     }
 
-    // ---- the steps ----
+    // ---- steps ----
 
     void change_list() {
-        for (auto versions = 1 + draw_() % 3; versions > 0; --versions) service_->set(drawn_list());
+        for (auto versions = 1 + draw_() % 3; versions > 0; --versions) service_->set(random_list());
     }
-    // The open watches are lost, and the list changes before they are opened again.
+    // Closes the open watches and changes the list before they are opened again.
     void break_watch() {
         service_->disconnect();
         change_list();
     }
-    // As before, but that the connections stay open, and nothing comes on them any more.
-    void silence_watch() {
-        service_->lose_watches();
+    // Stops sending on the open watches, whose connections stay open, and changes the list.
+    void stall_watch() {
+        service_->stall_watches();
         change_list();
     }
-    // With its watch open: a restart between the list and the watch breaks no connection that tells of it.
+    // Restarts discovery while the watch is open. A restart between the list and the watch breaks no
+    // connection from which the gateway could detect it.
     void restart_discovery() {
         ASSERT_TRUE(turn_until([this] { return service_->watched(); }));
         service_->disconnect();
@@ -118,17 +120,18 @@
     }
     void move_discovery() {
         auto history = service_->history();
-        auto old = std::exchange(service_, make_service(std::move(history)));
+        auto previous = std::exchange(service_, make_service(std::move(history)));
         change_list();
         write_configuration(service_->address(), "");
         reload();
         if (draw_() % 2 == 0) reload();
         turn_until([&] {
-            return log().find("moves to " + format_address(service_->address())) != std::string::npos;
+            return log().find("address changed to " + format_address(service_->address())) !=
+                   std::string::npos;
         });
         due_.clear();
     }
-    // Killed, or told to end and then killed; back with a list that may be old.
+    // Kills the gateway, possibly after a SIGTERM, and starts it again with a list that may be out of date.
     void restart_gateway() {
         const int known = service_->generation();
         if (draw_() % 2 == 0) terminate();
@@ -138,7 +141,7 @@
         clients_.clear();
         end_gateway_process();
         change_list();
-        start_at(service_->address(), service_->whole(known), "");
+        start_with_discovery(service_->address(), service_->complete_list(known), "");
         log_seen_ = 0;
     }
     void step() {
@@ -147,13 +150,13 @@
             case 0:
             case 1: return change_list();
             case 2: return break_watch();
-            case 3: return silence_watch();
+            case 3: return stall_watch();
             case 4: return restart_discovery();
             case 5: return move_discovery();
             default: return restart_gateway();
         }
     }
-    // The gateway has the current list, from discovery.
+    // Waits until the gateway has received the current list from discovery.
     bool caught_up() {
         const std::string generation = "\"generation\":" + std::to_string(service_->generation()) + ",";
         return turn_until([&] {
@@ -164,9 +167,9 @@
         });
     }
 
-    // ---- the requests ----
+    // ---- requests ----
 
-    // One on each connection, which stays open for the next ones.
+    // Sends one request on each client connection; the connections stay open for further requests.
     void send_requests() {
         clients_.resize(kClients);
         for (auto& client : clients_) {
@@ -188,33 +191,34 @@
         for (const auto& [name, server] : servers_) {
             if (service_->current().contains(name)) continue;
             EXPECT_EQ(server.attempts, before[name])
-                << name << " has left the list, step " << step_number << "\n"
+                << name << " got a request though it is not on the list, step " << step_number << "\n"
                 << log();
         }
     }
 
     std::mt19937 draw_;
-    std::chrono::milliseconds longest_delay_{};  // of discovery's answers
-    bool with_idle_clients_ = false;             // by idle connections of clients
+    std::chrono::milliseconds longest_delay_{};  // maximum delay of discovery's responses
+    bool with_idle_clients_ = false;             // whether idle client connections are open
     std::map<std::string, Server> servers_;
     std::unique_ptr<DiscoveryStandIn> service_;
     std::multimap<Clock::time_point, std::function<void()>> due_;
     std::map<const RawServer::Peer*, Clock::time_point> busy_until_;
     std::vector<std::unique_ptr<DirectClient>> clients_;
-    std::size_t log_seen_ = 0;  // bytes of it before the step
+    std::size_t log_seen_ = 0;  // size of the log, in bytes, before the step
     int requests_ = 0;
 };
 
-// More by hand: DISCOVERY_SOAK_SEEDS=100 build/tests/chalksail_fault_tests --gtest_filter='*DiscoverySoak*'.
-unsigned seeds() {
-    constexpr unsigned kSeeds = 10;
-    const char* const wanted = std::getenv("DISCOVERY_SOAK_SEEDS");
-    return wanted == nullptr ? kSeeds : static_cast<unsigned>(std::stoul(wanted));
+// To run more seeds:
+// DISCOVERY_SOAK_SEEDS=100 build/tests/chalksail_fault_tests --gtest_filter='*DiscoverySoak*'.
+unsigned seed_count() {
+    constexpr unsigned kDefaultCount = 10;
+    const char* const count = std::getenv("DISCOVERY_SOAK_SEEDS");
+    return count == nullptr ? kDefaultCount : static_cast<unsigned>(std::stoul(count));
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, DiscoverySoak, ::testing::Range(1U, 1U + seeds()));
+INSTANTIATE_TEST_SUITE_P(Seeds, DiscoverySoak, ::testing::Range(1U, 1U + seed_count()));
 
 TEST_P(DiscoverySoak, RequestsGoOnlyToServersOnTheList) {
-    start_at(service_->address(), "", "");
+    start_with_discovery(service_->address(), "", "");
     ASSERT_TRUE(caught_up());
     std::vector<std::unique_ptr<DirectClient>> idle_clients;
     for (int i = 0; with_idle_clients_ && i < kIdleClients; ++i)
--- a/tests/faults/discovery_test.cpp
+++ b/tests/faults/discovery_test.cpp
@@ -1,5 +1,5 @@
-// A gateway as a real process beside a discovery service that tells changes: whatever broke in between, no
-// request goes to a server that has left the list.
+// Runs a real gateway process against a discovery service that sends list changes: whatever was interrupted
+// in between, no request may go to a server that has left the list.
 #include "faults/process_rig.hpp"
 #include "net/discovery_stand_in.hpp"
 
@@ -15,17 +15,18 @@
     static constexpr int kRequests = 16;
 
     EndpointChanges() {
-        serve_reads();
-        serve_writes();
-        short_lived = std::make_unique<RawServer>(
-            loop, [](RawServer::Peer& p) { p.send(p.server->last.starts_with("DELETE") ? kLetGo : kRead); });
+        start_reader();
+        start_writer();
+        short_lived = std::make_unique<RawServer>(loop, [](RawServer::Peer& p) {
+            p.send(p.server->last.starts_with("DELETE") ? kNoContentResponse : kAcceptedResponse);
+        });
     }
     ~EndpointChanges() override {
-        break_down();
+        stop_all();
         service.reset();
         short_lived.reset();
     }
-    // The reader that stays, and with it what is named.
+    // Returns a list of the permanent reader, the named writers and, if wanted, the short-lived readers.
     [[nodiscard]] Instances list(bool with_short_lived, const std::vector<std::string>& writers) const {
         Instances instances{{"r", {"reader", reader->address}}};
         for (const auto& name : writers) instances[name] = {"writer", writer->address};
@@ -35,30 +36,30 @@
     }
     void start_with_known(const std::vector<Instances>& history, int known) {
         service = std::make_unique<DiscoveryStandIn>(loop, history);
-        start_at(service->address(), service->whole(known), "");
+        start_with_discovery(service->address(), service->complete_list(known), "");
     }
     bool logged(const std::string& text) {
         return until([&] { return log().find(text) != std::string::npos; });
     }
-    void expect_none_for_short_lived() {
+    void expect_no_request_at_short_lived() {
         const int before = short_lived->requests;
-        EXPECT_EQ(served(kRequests, "a"), kRequests) << log();
+        EXPECT_EQ(count_served(kRequests, "a"), kRequests) << log();
         EXPECT_EQ(short_lived->requests, before) << log();
     }
 
-    std::unique_ptr<RawServer> short_lived;  // all of the short-lived readers
+    std::unique_ptr<RawServer> short_lived;  // stands in for all short-lived readers
     std::unique_ptr<DiscoveryStandIn> service;
 };
 
-// Guards against changes after an early version that are applied to a later list: servers that came behind
-// that version and left before the gateway was back are in neither. Until the writer is known from discovery
-// nothing can be sent.
+// Guards against applying the changes since an early version to a later list: servers that were added after
+// that version and removed before the gateway restarted are in neither, and would stay listed. No request can
+// be sent before discovery has delivered the writer.
 TEST_F(EndpointChanges, ServerThatLeftWhileTheGatewayWasDownGetsNoRequest) {
     start_with_known({list(false, {}), list(true, {}), list(false, {"w"})}, 1);
-    expect_none_for_short_lived();
+    expect_no_request_at_short_lived();
 }
 
-// The same for a watch that breaks in a process that goes on.
+// The same fault after a broken watch, without a restart of the gateway.
 TEST_F(EndpointChanges, ServerThatLeftWhileTheWatchWasBrokenGetsNoRequest) {
     start_with_known({list(false, {"w"})}, 0);
     ASSERT_TRUE(until([this] { return service->watched(); }));
@@ -67,10 +68,10 @@
     service->disconnect();
     service->set(list(false, {"w", "w2"}));
     ASSERT_TRUE(logged(R"("server":"w2","action":"up")"));
-    expect_none_for_short_lived();
+    expect_no_request_at_short_lived();
 }
 
-// The same where a new configuration names another address of discovery.
+// The same fault after a configuration reload that names another address of discovery.
 TEST_F(EndpointChanges, ServerThatLeftWhileDiscoveryMovedGetsNoRequest) {
     start_with_known({list(false, {"w"})}, 0);
     ASSERT_TRUE(until([this] { return service->watched(); }));
@@ -82,16 +83,16 @@
     write_configuration(other.address(), "");
     reload();
     ASSERT_TRUE(logged(R"("server":"w2","action":"up")"));
-    expect_none_for_short_lived();
-    break_down();
+    expect_no_request_at_short_lived();
+    stop_all();
 }
 
-// The same where discovery itself has started anew and counts from 0, whether or not it has reached the
-// version that the gateway had. The parameter: versions since then.
-class DiscoveryStartedAnew : public EndpointChanges, public ::testing::WithParamInterface<int> {};
-INSTANTIATE_TEST_SUITE_P(Versions, DiscoveryStartedAnew, ::testing::Values(0, 1, 3));
+// The same fault after a restart of discovery, which numbers its versions from 0 again and may or may not
+// have reached the version that the gateway had. The parameter is the number of versions since the restart.
+class DiscoveryRestarted : public EndpointChanges, public ::testing::WithParamInterface<int> {};
+INSTANTIATE_TEST_SUITE_P(Versions, DiscoveryRestarted, ::testing::Values(0, 1, 3));
 
-TEST_P(DiscoveryStartedAnew, ServerThatHasLeftMeanwhileGetsNoRequest) {
+TEST_P(DiscoveryRestarted, ServerThatLeftBeforeTheRestartGetsNoRequest) {
     start_with_known({list(false, {"w"})}, 0);
     ASSERT_TRUE(until([this] { return service->watched(); }));
     service->set(list(true, {"w"}));
@@ -101,7 +102,7 @@
     service->restart();
     for (int i = 0; i < GetParam(); ++i) service->set(list(false, {"w", "w2", "more" + std::to_string(i)}));
     ASSERT_TRUE(logged(R"("server":"w2","action":"up")"));
-    expect_none_for_short_lived();
+    expect_no_request_at_short_lived();
 }
 
 }  // namespace
--- a/tests/faults/fault_shim.cpp
+++ b/tests/faults/fault_shim.cpp
@@ -1,15 +1,19 @@
-// A library for LD_PRELOAD that makes system calls of the process under test fail as its plan says. It runs
-// the real call in all other cases, and counts nothing else. For tests only.
+// A library for LD_PRELOAD that makes system calls of the process under test fail according to a plan. All
+// other calls run unchanged. For tests only.
 //
-// The plan is the environment variable FAULT_PLAN: rules divided by blanks, each
+// The plan is the value of the environment variable FAULT_PLAN: rules separated by blanks, each
 //
 //     call[@kind]:fault:first:every:most
 //
-// call: accept4, socket, connect, read, recv, write, send, epoll_wait (for writev, sendmsg and epoll_pwait
-// too). kind: client (accepted), server (connected); without it every descriptor. fault: an errno by name, or
-// SHORT (one byte at most is moved). Reads and writes fail on accepted and connected sockets only: pipes and
-// event descriptors do not give these errors. The rule's calls are counted from 1: the first-th fails, then
-// each every-th after it, `most` times in all. A plan that can't be read ends the process with exit code 99.
+//     call   accept4, socket, connect, read, recv, write (also writev), send, epoll_wait (also epoll_pwait)
+//     kind   client (accepted sockets) or server (connected sockets); without it every descriptor
+//     fault  the name of an errno value, or SHORT (transfers at most one byte)
+//     first  number of the first call that fails, counted from 1
+//     every  after it, each every-th call fails
+//     most   maximum number of failures
+//
+// Reads and writes fail on accepted and connected sockets only: pipes and event descriptors do not return
+// these errors. An invalid plan ends the process with exit code 99.
 #include <dlfcn.h>
 #include <sys/epoll.h>
 #include <sys/socket.h>
@@ -30,19 +34,20 @@
 
 namespace {
 
-constexpr int kShort = -1;
-constexpr int kBadPlan = 99;
-constexpr std::size_t kDescriptors = 65536;
+constexpr int kShort = -1;  // stands for SHORT in place of an errno value
+constexpr int kInvalidPlanExitCode = 99;
+constexpr std::size_t kMaxDescriptors = 65536;
 
 enum class Kind : char { other, client, server };
-std::array<std::atomic<Kind>, kDescriptors> kinds{};
+std::array<std::atomic<Kind>, kMaxDescriptors> kinds{};
 
 void set_kind(int fd, Kind kind) {
-    if (fd >= 0 && static_cast<std::size_t>(fd) < kDescriptors) kinds[static_cast<std::size_t>(fd)] = kind;
+    if (fd >= 0 && static_cast<std::size_t>(fd) < kMaxDescriptors) kinds[static_cast<std::size_t>(fd)] = kind;
 }
 Kind kind_of(int fd) {
-    return fd >= 0 && static_cast<std::size_t>(fd) < kDescriptors ? kinds[static_cast<std::size_t>(fd)].load()
-                                                                  : Kind::other;
+    return fd >= 0 && static_cast<std::size_t>(fd) < kMaxDescriptors
+               ? kinds[static_cast<std::size_t>(fd)].load()
+               : Kind::other;
 }
 
 struct Rule {
@@ -57,10 +62,10 @@
     std::atomic<long> failed{0};
 };
 
-[[noreturn]] void refuse_plan(const std::string& text) {
-    const std::string message = "fault plan: can't read '" + text + "'\n";
+[[noreturn]] void reject_plan(const std::string& rule) {
+    const std::string message = "fault plan: invalid rule '" + rule + "'\n";
     if (::write(STDERR_FILENO, message.data(), message.size()) < 0) std::abort();
-    _exit(kBadPlan);
+    _exit(kInvalidPlanExitCode);
 }
 
 int fault_of(const std::string& name, const std::string& rule) {
@@ -82,19 +87,19 @@
                                                             {"EPERM", EPERM}};
     for (const auto& [word, value] : known)
         if (name == word) return value;
-    refuse_plan(rule);
+    reject_plan(rule);
 }
 
 void read_rule(const std::string& text, Rule& out) {
     std::vector<std::string> parts;
     std::istringstream in(text);
     for (std::string part; std::getline(in, part, ':');) parts.push_back(part);
-    if (parts.size() != 5) refuse_plan(text);
+    if (parts.size() != 5) reject_plan(text);
     const auto at = parts[0].find('@');
     out.call = parts[0].substr(0, at);
     if (at != std::string::npos) {
         const std::string kind = parts[0].substr(at + 1);
-        if (kind != "client" && kind != "server") refuse_plan(text);
+        if (kind != "client" && kind != "server") reject_plan(text);
         out.any_kind = false;
         out.kind = kind == "client" ? Kind::client : Kind::server;
     }
@@ -102,7 +107,7 @@
     out.first = std::atol(parts[2].c_str());
     out.every = std::atol(parts[3].c_str());
     out.most = std::atol(parts[4].c_str());
-    if (out.first < 1 || out.every < 1 || out.most < 1) refuse_plan(text);
+    if (out.first < 1 || out.every < 1 || out.most < 1) reject_plan(text);
 }
 
 std::vector<Rule>& plan() {
@@ -118,10 +123,10 @@
     return rules;
 }
 
-// The fault for this call, or 0.
+// Returns the fault to inject into this call: an errno value, kShort, or 0 for none.
 int fault_for(const char* call, int fd) {
-    const bool moves_bytes = std::strcmp(call, "read") == 0 || std::strcmp(call, "write") == 0;
-    if (moves_bytes && kind_of(fd) == Kind::other) return 0;
+    const bool transfers_bytes = std::strcmp(call, "read") == 0 || std::strcmp(call, "write") == 0;
+    if (transfers_bytes && kind_of(fd) == Kind::other) return 0;
     for (auto& rule : plan()) {
         if (rule.call != call || (!rule.any_kind && rule.kind != kind_of(fd))) continue;
         const long seen = ++rule.seen;
@@ -131,7 +136,7 @@
     return 0;
 }
 
-// The same in place: true if the call fails with errno set.
+// Returns true if the call is to fail, with errno set. Sets `is_short` if it is to transfer at most one byte.
 bool fails(const char* call, int fd, bool& is_short) {
     const int fault = fault_for(call, fd);
     is_short = fault == kShort;
--- a/tests/faults/process_faults_test.cpp
+++ b/tests/faults/process_faults_test.cpp
@@ -1,5 +1,4 @@
-// Real gateway processes under injected faults. The verdicts are of order (what came before what), never of
-// time.
+// Real gateway processes under injected faults. The tests check the order of events, never durations.
 #include <random>
 
 #include "faults/process_rig.hpp"
@@ -7,13 +6,13 @@
 namespace chalksail::faults::testing {
 namespace {
 
-// Guards against a state that waits for a write which no server has read: the system of a server that hangs
-// takes the bytes, and its connection stays open and silent. The state is released while that write is out,
-// long before the request's own time is over.
-TEST_F(ProcessRig, StateIsReleasedWhileItsWriteIsUnanswered) {
+// Guards against holding KV state for a decode call that the server's process has not read: the kernel of a
+// hung server accepts the bytes, and the connection stays open without a response. The state must be released
+// while that call is open, long before the request's deadline.
+TEST_F(ProcessRig, KvStateIsReleasedWhileTheDecodeCallIsUnanswered) {
     for (const std::string cls : {"order", "chat"}) {
         HungServer hung;
-        serve_reads();
+        start_reader();
         start(reader->address, hung.address(), "");
         DirectClient client(address);
         client.send(platform_messages::post("9b1f", cls, "", "20000m"));
@@ -24,70 +23,70 @@
         }));
         EXPECT_GT(releases, 0) << cls << "\n" << log();
         EXPECT_TRUE(client.got.empty()) << client.got;
-        break_down();
+        stop_all();
     }
 }
 
-// Guards against a request that is lost while this machine is short of descriptors for a moment: a connection
-// that can't be accepted now waits in the backlog, with its request.
+// Guards against losing a request while the machine is short of descriptors for a moment: a connection that
+// can't be accepted must wait in the backlog together with its request.
 TEST_F(ProcessRig, RequestSurvivesFailuresOfAccept) {
-    serve_reads();
-    serve_writes();
+    start_reader();
+    start_writer();
     start(reader->address, writer->address,
           "accept4:ENFILE:1:3:4 accept4:EMFILE:2:5:3 accept4:ENOBUFS:3:7:2");
     for (int i = 0; i < 12; ++i) {
         DirectClient client(address);
         client.send(platform_messages::post("a" + std::to_string(i)));
-        EXPECT_TRUE(answered_whole(client)) << i << "\n" << log();
+        EXPECT_TRUE(answered_completely(client)) << i << "\n" << log();
     }
 }
 
-// Guards against a client that counts as gone because a look at its socket failed for a moment.
-TEST_F(ProcessRig, RequestSurvivesFailuresOfChecksOfItsClient) {
-    serve_reads();
-    serve_writes();
+// Guards against treating a client as disconnected because a check of its socket failed temporarily.
+TEST_F(ProcessRig, RequestSurvivesFailedChecksOfItsClientSocket) {
+    start_reader();
+    start_writer();
     start(reader->address, writer->address, "recv@client:EINTR:1:2:4 recv@client:ENOMEM:2:4:3");
     for (int i = 0; i < 8; ++i) {
         DirectClient client(address);
         client.send(platform_messages::post("a" + std::to_string(i)));
-        EXPECT_TRUE(answered_whole(client)) << i << "\n" << log();
+        EXPECT_TRUE(answered_completely(client)) << i << "\n" << log();
     }
 }
 
-// Guards against requests that are refused, and servers that are blamed, while this machine has no
-// descriptor, port or route for a moment.
-TEST_F(ProcessRig, RequestsAreServedDespiteFailuresOfDials) {
-    serve_reads();
-    serve_writes();
+// Guards against rejecting requests, or counting failures against servers, while this machine temporarily has
+// no free descriptor or port, or no route.
+TEST_F(ProcessRig, RequestsAreServedDespiteFailedDials) {
+    start_reader();
+    start_writer();
     start(
         reader->address, writer->address,
         "socket:ENFILE:2:3:20 connect:EADDRNOTAVAIL:2:3:10 connect:ENETUNREACH:3:5:10 connect:ENOBUFS:4:7:5");
-    EXPECT_EQ(served(12, "a"), 12) << log();
-    EXPECT_EQ(served(12, "b"), 12) << log();
+    EXPECT_EQ(count_served(12, "a"), 12) << log();
+    EXPECT_EQ(count_served(12, "b"), 12) << log();
 }
 
-// Interrupted waits, and reads and writes that move a byte at a time, change nothing.
+// Interrupted waits, and reads and writes of single bytes, must not affect any request.
 TEST_F(ProcessRig, RequestsAreServedDespiteShortAndInterruptedCalls) {
-    serve_reads();
-    serve_writes();
+    start_reader();
+    start_writer();
     start(reader->address, writer->address,
           "epoll_wait:EINTR:5:5:100000 read:EINTR:3:3:100000 read:SHORT:2:5:100000 write:SHORT:2:4:100000 "
           "write:EINTR:3:7:100000 write:ENOBUFS:5:11:1000 recv:EINTR:2:3:100000 accept4:ECONNABORTED:1:2:100 "
           "accept4:EINTR:2:5:100");
-    EXPECT_EQ(served(12, "a"), 12) << log();
-    EXPECT_EQ(served(12, "b"), 12) << log();
+    EXPECT_EQ(count_served(12, "a"), 12) << log();
+    EXPECT_EQ(count_served(12, "b"), 12) << log();
 }
 
-// Guards against a gateway that does not come up for a moment's shortage.
-TEST_F(ProcessRig, GatewayComesUpDespiteFailuresAtItsStart) {
-    serve_reads();
-    serve_writes();
+// Guards against a gateway that fails to start because of a temporary shortage of resources.
+TEST_F(ProcessRig, GatewayStartsDespiteTemporaryFailures) {
+    start_reader();
+    start_writer();
     start(reader->address, writer->address, "socket:ENFILE:1:1:2 socket:ENOMEM:1:1:2");
-    EXPECT_EQ(served(1, "a"), 1);
+    EXPECT_EQ(count_served(1, "a"), 1);
 }
 
-// Plans drawn from a seed, of all the failures that leave a request servable: each is served, and the process
-// lives on.
+// Random plans of faults that still allow a request to be served: each request must be served, and the
+// process must not exit.
 class SeededPlan : public ProcessRig, public ::testing::WithParamInterface<unsigned> {
 protected:
     static std::string plan(unsigned seed) {
@@ -113,48 +112,49 @@
 
 TEST_P(SeededPlan, EveryRequestIsServed) {
     const std::string faults = plan(GetParam());
-    serve_reads();
-    serve_writes();
+    start_reader();
+    start_writer();
     start(reader->address, writer->address, faults);
     for (int round = 0; round < 3; ++round)
-        EXPECT_EQ(served(10, "r" + std::to_string(round) + "-"), 10) << faults << "\n" << log();
+        EXPECT_EQ(count_served(10, "r" + std::to_string(round) + "-"), 10) << faults << "\n" << log();
     EXPECT_FALSE(exited) << faults;
 }
 
-// A server's connection that breaks with an error of the network ends its request like any other break, and
-// no other one: what is behind it is served.
+// A network error on a connection to a server must end only the request on that connection, as any other
+// break does; later requests are served.
 TEST_F(ProcessRig, BrokenConnectionsToServersEndTheirOwnRequestsOnly) {
-    serve_reads();
-    serve_writes();
+    start_reader();
+    start_writer();
     start(reader->address, writer->address, "read@server:ETIMEDOUT:4:6:3 read@server:EHOSTUNREACH:6:9:3");
     for (int i = 0; i < 8; ++i) {
         DirectClient client(address);
         client.send(platform_messages::post("a" + std::to_string(i), "chat", "", "20000m"));
-        EXPECT_TRUE(answered_whole(client)) << i << "\n" << log();
+        EXPECT_TRUE(answered_completely(client)) << i << "\n" << log();
     }
     EXPECT_FALSE(exited);
 }
 
-// Guards against a reload that is given up because its file can't be read at that moment: it may just be
-// being replaced, or the system short of descriptors. What discovery tells counts soon after the signal.
-TEST_F(ProcessRig, ConfigurationThatCantBeReadYetIsReadAgain) {
-    serve_reads();
-    serve_writes();
+// Guards against abandoning a reload because the file can't be read at that moment: it may be about to be
+// replaced, or the system may be short of descriptors. The new discovery address must take effect soon after
+// the signal.
+TEST_F(ProcessRig, UnreadableConfigurationIsReadAgain) {
+    start_reader();
+    start_writer();
     start(reader->address, writer->address, "");
-    ASSERT_EQ(served(1, "a"), 1);
+    ASSERT_EQ(count_served(1, "a"), 1);
     const std::string config = folder + "/config.json";
     std::ifstream in(config);
     std::string text{std::istreambuf_iterator<char>(in), {}};
-    RawServer moved(loop, [](RawServer::Peer& p) { p.send(kStreamHead); });
-    const std::string from = format_address(discovery->address);
-    text.replace(text.find(from), from.size(), format_address(moved.address));
+    RawServer new_discovery(loop, [](RawServer::Peer& p) { p.send(kStreamHead); });
+    const std::string old_address = format_address(discovery->address);
+    text.replace(text.find(old_address), old_address.size(), format_address(new_discovery.address));
     std::filesystem::remove(config);
     reload();
     ASSERT_TRUE(until([&] { return log().find("the old one stays") != std::string::npos; }));
-    EXPECT_EQ(moved.requests, 0);
+    EXPECT_EQ(new_discovery.requests, 0);
     std::ofstream(folder + "/new.json") << text;
     std::filesystem::rename(folder + "/new.json", config);
-    EXPECT_TRUE(until([&] { return moved.requests > 0; })) << log();
+    EXPECT_TRUE(until([&] { return new_discovery.requests > 0; })) << log();
 }
 
 }  // namespace
--- a/tests/faults/process_rig.hpp
+++ b/tests/faults/process_rig.hpp
@@ -1,5 +1,5 @@
-// `chalksail-edge platform` as a process of its own, between stand-ins in the test's process: discovery,
-// readers, writers and clients, all on loopback. The fault shim is loaded into the gateway alone.
+// Runs `chalksail-edge platform` as a separate process. Discovery, readers, writers and clients are stand-ins
+// in the test's process; all connections are on loopback. Only the gateway loads the fault shim.
 #pragma once
 
 #include <fcntl.h>
@@ -19,25 +19,25 @@
 
 using net::testing::chunked;
 using net::testing::DirectClient;
-using net::testing::kLetGo;
-using net::testing::kRead;
+using net::testing::kAcceptedResponse;
+using net::testing::kNoContentResponse;
 using net::testing::kStream;
 using net::testing::kStreamHead;
 using net::testing::RawServer;
 namespace platform_messages = platform::testing;
 
-// A server whose process hangs: the system completes connections to it and takes their bytes, and nobody
-// reads them.
+// A server whose process hangs: the kernel completes connections to it and buffers their bytes, but no
+// process reads them.
 class HungServer {
 public:
     HungServer() : socket_(::socket(AF_INET, SOCK_STREAM, 0)) {
-        sockaddr_in where{};
-        uv_ip4_addr("127.0.0.1", 0, &where);
-        EXPECT_EQ(bind(socket_, reinterpret_cast<const sockaddr*>(&where), sizeof where), 0);
+        sockaddr_in bound{};
+        uv_ip4_addr("127.0.0.1", 0, &bound);
+        EXPECT_EQ(bind(socket_, reinterpret_cast<const sockaddr*>(&bound), sizeof bound), 0);
         EXPECT_EQ(listen(socket_, 64), 0);
-        socklen_t size = sizeof where;
-        getsockname(socket_, reinterpret_cast<sockaddr*>(&where), &size);
-        address_ = {"127.0.0.1", ntohs(where.sin_port)};
+        socklen_t size = sizeof bound;
+        getsockname(socket_, reinterpret_cast<sockaddr*>(&bound), &size);
+        address_ = {"127.0.0.1", ntohs(bound.sin_port)};
     }
     ~HungServer() { ::close(socket_); }
     HungServer(const HungServer&) = delete;
@@ -51,7 +51,7 @@
 
 class ProcessRig : public ::testing::Test {
 protected:
-    static constexpr auto kTestTimeout = std::chrono::seconds(30);  // then the test has failed
+    static constexpr auto kTestTimeout = std::chrono::seconds(30);  // maximum duration of one until()
 
     ProcessRig() {
         std::signal(SIGPIPE, SIG_IGN);
@@ -60,63 +60,66 @@
         folder = mkdtemp(name);
     }
     ~ProcessRig() override {
-        break_down();
+        stop_all();
         for (int i = 0; i < 1000 && uv_run(&loop, UV_RUN_NOWAIT) != 0; ++i) {
         }
         uv_loop_close(&loop);
         std::filesystem::remove_all(folder);
     }
 
-    // Ends the gateway and its stand-ins; another start() may follow.
-    void break_down() {
+    // Stops the gateway and its stand-ins. start() may be called again afterwards.
+    void stop_all() {
         end_gateway_process();
         discovery.reset();
         reader.reset();
         writer.reset();
         releases = 0;
     }
-    void serve_reads() {
+    void start_reader() {
         reader = std::make_unique<RawServer>(loop, [this](RawServer::Peer& p) {
             const bool release = p.server->last.starts_with("DELETE");
             releases += release ? 1 : 0;
-            p.send(release ? kLetGo : kRead);
+            p.send(release ? kNoContentResponse : kAcceptedResponse);
         });
     }
-    void serve_writes() {
+    void start_writer() {
         writer = std::make_unique<RawServer>(loop, [this](RawServer::Peer& p) {
             const bool release = p.server->last.starts_with("DELETE");
             releases += release ? 1 : 0;
-            p.send(release ? kLetGo : kStream);
+            p.send(release ? kNoContentResponse : kStream);
         });
     }
     // Starts the gateway with a list of one reader and one writer, and waits until it listens.
-    void start(const Address& read_at, const Address& write_at, const std::string& plan) {
-        start_with(platform_messages::list_text(
-                       platform_messages::instance("r1", "reader", format_address(read_at)) + "," +
-                       platform_messages::instance("w1", "writer", format_address(write_at))),
-                   plan);
-    }
-    // With this list, which the configuration knows, too, unless `known` says otherwise.
-    void start_with(const std::string& list, const std::string& plan,
-                    const std::optional<std::string>& known = {}) {
+    void start(const Address& reader_address, const Address& writer_address, const std::string& plan) {
+        start_with_list(
+            platform_messages::list_text(
+                platform_messages::instance("r1", "reader", format_address(reader_address)) + "," +
+                platform_messages::instance("w1", "writer", format_address(writer_address))),
+            plan);
+    }
+    // Starts the gateway and a discovery service with this list. The configuration's cached list is `known`,
+    // or the same list by default.
+    void start_with_list(const std::string& list, const std::string& plan,
+                         const std::optional<std::string>& known = {}) {
         discovery = std::make_unique<RawServer>(loop, [list](RawServer::Peer& p) {
             p.send(net::testing::is_watch_request(*p.server) ? kStreamHead : net::testing::sized(200, list));
         });
-        start_at(discovery->address, known.value_or(list), plan);
+        start_with_discovery(discovery->address, known.value_or(list), plan);
     }
-    // With discovery at this address, and the list that the configuration knows.
-    void start_at(const Address& discovery_at, const std::string& known, const std::string& plan) {
-        write_configuration(discovery_at, known);
+    // Starts the gateway with a discovery service at this address and a cached list in its configuration.
+    void start_with_discovery(const Address& discovery_address, const std::string& known,
+                              const std::string& plan) {
+        write_configuration(discovery_address, known);
         spawn(configuration_file(), plan);
         ASSERT_TRUE(until([this] { return out.find("listening") != std::string::npos || exited; }));
         ASSERT_FALSE(exited) << log();
         const auto at = out.find("127.0.0.1:");
         address = {"127.0.0.1", static_cast<std::uint16_t>(std::stoi(out.substr(at + 10)))};
     }
-    // Runs the loop until it holds; false if it never does.
-    bool until(const std::function<bool()>& holds) {
+    // Runs the loop until `condition` holds. Returns false if it does not within kTestTimeout.
+    bool until(const std::function<bool()>& condition) {
         const auto end = std::chrono::steady_clock::now() + kTestTimeout;
-        while (!holds()) {
+        while (!condition()) {
             if (std::chrono::steady_clock::now() > end) return false;
             uv_run(&loop, UV_RUN_NOWAIT);
             usleep(500);
@@ -124,11 +127,11 @@
         return true;
     }
     [[nodiscard]] std::string configuration_file() const { return folder + "/config.json"; }
-    void write_configuration(const Address& discovery_at, const std::string& known) const {
-        std::string text = platform_messages::configuration_text(format_address(discovery_at), known);
-        // A busy machine must not look like a server that can't be dialled.
-        const std::string dial = "\"dial_timeout_ns\":250000000";
-        text.replace(text.find(dial), dial.size(), "\"dial_timeout_ns\":5000000000");
+    void write_configuration(const Address& discovery_address, const std::string& known) const {
+        std::string text = platform_messages::configuration_text(format_address(discovery_address), known);
+        // A busy machine must not cause dial time-outs.
+        const std::string dial_timeout = "\"dial_timeout_ns\":250000000";
+        text.replace(text.find(dial_timeout), dial_timeout.size(), "\"dial_timeout_ns\":5000000000");
         for (const auto& [from, to] : settings) {
             ASSERT_NE(text.find(from), std::string::npos) << from;
             text.replace(text.find(from), from.size(), to);
@@ -139,30 +142,33 @@
     void terminate() { uv_process_kill(&process_, SIGTERM); }
     void kill() { uv_process_kill(&process_, SIGKILL); }
     [[nodiscard]] pid_t gateway() const { return process_.pid; }
-    // How many of so many clients at once are served: a whole stream, with its end.
-    int served(int count, const std::string& prefix) {
-        std::vector<std::unique_ptr<DirectClient>> all;
+    // Sends `count` requests, each on a connection of its own, and returns how many receive a complete
+    // stream.
+    int count_served(int count, const std::string& id_prefix) {
+        std::vector<std::unique_ptr<DirectClient>> clients;
         for (int i = 0; i < count; ++i) {
-            all.push_back(std::make_unique<DirectClient>(address));
-            all.back()->send(platform_messages::post(prefix + std::to_string(i), "chat", "", "20000m"));
+            clients.push_back(std::make_unique<DirectClient>(address));
+            clients.back()->send(
+                platform_messages::post(id_prefix + std::to_string(i), "chat", "", "20000m"));
         }
-        int out_of_all = 0;
-        for (auto& client : all)
-            out_of_all += answered_whole(*client) && client->got.find("[DONE]") != std::string::npos ? 1 : 0;
-        return out_of_all;
+        int served = 0;
+        for (auto& client : clients)
+            served += answered_completely(*client) && client->got.find("[DONE]") != std::string::npos ? 1 : 0;
+        return served;
     }
-    // Whether the client has a whole answer; false once its connection has ended without one.
-    bool answered_whole(DirectClient& client) {
+    // Waits until the client has a complete response or its connection has ended, and returns whether it has
+    // one.
+    bool answered_completely(DirectClient& client) {
         bool open = true;
-        const auto whole = [&] {
+        const auto complete = [&] {
             return client.got.find("0\r\n\r\n") != std::string::npos ||
                    client.got.find("\"error\"") != std::string::npos;
         };
         until([&] {
             open = client.read();
-            return whole() || !open;
+            return complete() || !open;
         });
-        return whole();
+        return complete();
     }
     [[nodiscard]] std::string log() const {
         std::ifstream in(folder + "/log");
@@ -171,12 +177,12 @@
 
     uv_loop_t loop{};
     std::string folder;
-    // Parts of the configuration's text and what stands in their place.
+    // Parts of the configuration's text and their replacements.
     std::vector<std::pair<std::string, std::string>> settings;
     std::string out;  // the gateway's standard output
     Address address;
     std::unique_ptr<RawServer> discovery, reader, writer;
-    int releases = 0;  // release calls that came to a reader or writer
+    int releases = 0;  // number of release calls received by a reader or writer
     bool exited = false;
 
     void end_gateway_process() {
@@ -237,7 +243,7 @@
         ::close(log_file_);
     }
 
-    // Another process may use the same handle afterwards.
+    // Closes a handle and waits until it is closed, so that it can be initialized again.
     void close_handle(uv_handle_t* handle) {
         handle->data = &handles_closed_;
         const int before = handles_closed_;
--- a/tests/faults/shutdown_soak_test.cpp
+++ b/tests/faults/shutdown_soak_test.cpp
@@ -1,7 +1,7 @@
-// Shutdowns of real gateways under load, drawn from a seed. Clients go on using the connections that stay
-// open until the kill, which comes at its earliest in every other run: the longest deadline (3 s at most) and
-// 0.7 s after SIGTERM; else up to 1.5 s later. Signals come in series, some servers hang, and some runs have
-// a crowd of idle connections.
+// Shuts down real gateway processes under load; a seed determines the details. Clients continue to use open
+// connections until the process is killed. The earliest time of the kill is the longest deadline (3 s at
+// most) plus 0.7 s after SIGTERM; half of the runs kill up to 1.5 s later. Runs send several signals in a
+// row, let some servers hang, and open many idle connections.
 #include <csignal>
 #include <random>
 
@@ -13,16 +13,16 @@
 using namespace std::chrono_literals;
 using Clock = std::chrono::steady_clock;
 
-// What a seed draws.
+// The randomly chosen parameters of a run.
 struct Plan {
-    std::chrono::milliseconds deadline{};  // the longest of a class
-    bool resume = true;
+    std::chrono::milliseconds deadline{};  // deadline of each service class
+    bool resume = true;                    // whether clients can resume a stream
     int clients = 0;
-    int client_workload = 0;
-    double no_answer_part = 0;  // part of the servers' answers that never come
+    int idle_connections = 0;
+    double unanswered_fraction = 0;  // fraction of the calls that servers never answer
     std::vector<int> signals;
-    std::chrono::milliseconds run_up{};
-    std::chrono::milliseconds kill_late{};  // beyond its earliest
+    std::chrono::milliseconds warm_up{};     // load before the first signal
+    std::chrono::milliseconds kill_delay{};  // time of the kill after its earliest time
 
     explicit Plan(std::mt19937& draw) {
         const std::vector<std::chrono::milliseconds> deadlines = {300ms,  500ms,  700ms,
@@ -36,34 +36,34 @@
         deadline = deadlines[draw() % deadlines.size()];
         resume = draw() % 3 != 0;
         clients = 4 + static_cast<int>(draw() % 20);
-        client_workload = draw() % 3 == 0 ? 60 : 0;
-        no_answer_part = draw() % 2 == 0 ? 0 : 0.25;
+        idle_connections = draw() % 3 == 0 ? 60 : 0;
+        unanswered_fraction = draw() % 2 == 0 ? 0 : 0.25;
         signals = series[draw() % series.size()];
-        run_up = std::chrono::milliseconds(100 + draw() % 300);
-        kill_late = std::chrono::milliseconds(draw() % 2 == 0 ? 0 : draw() % 1500);
+        warm_up = std::chrono::milliseconds(100 + draw() % 300);
+        kill_delay = std::chrono::milliseconds(draw() % 2 == 0 ? 0 : draw() % 1500);
     }
     [[nodiscard]] Clock::duration kill_after() const {
-        return std::min<Clock::duration>(deadline, 3s) + 700ms + kill_late;
+        return std::min<Clock::duration>(deadline, 3s) + 700ms + kill_delay;
     }
 };
 
-// One request after another on one connection.
+// A client that sends one request after another on one connection.
 struct LoadClient {
     std::unique_ptr<DirectClient> connection;
-    std::string id;  // of the request that is out; empty: none
+    std::string id;  // ID of the open request; empty if there is none
     Clock::time_point sent_at;
     Clock::time_point next_at;
 };
 
-// How a request ended that got no whole answer.
+// A request that ended without a complete answer.
 struct Unanswered {
     std::string id;
     Clock::time_point sent_at;
-    bool started = false;  // an event had come
-    bool by_kill = false;
+    bool started = false;  // at least one event of its stream had arrived
+    bool by_kill = false;  // the gateway was killed while the request was open
 };
 
-bool whole_answer(const std::string& got) {
+bool is_complete_answer(const std::string& got) {
     const auto head = got.find("\r\n\r\n");
     if (head == std::string::npos) return false;
     const auto length = got.find("Content-Length: ");
@@ -82,21 +82,21 @@
         if (!plan_.resume) settings.emplace_back("\"resume\":true", "\"resume\":false");
     }
 
-    std::chrono::milliseconds up_to(std::chrono::milliseconds most) {
-        return std::chrono::milliseconds(draw_() % static_cast<unsigned>(most.count() + 1));
+    std::chrono::milliseconds up_to(std::chrono::milliseconds max) {
+        return std::chrono::milliseconds(draw_() % static_cast<unsigned>(max.count() + 1));
     }
-    bool hangs() { return std::uniform_real_distribution<>(0, 1)(draw_) < plan_.no_answer_part; }
-    // What a server does later. A peer that is gone by then hears nothing.
+    bool hangs() { return std::uniform_real_distribution<>(0, 1)(draw_) < plan_.unanswered_fraction; }
+    // Schedules an action of a server. Sending to a peer that has disconnected by then has no effect.
     void later(std::chrono::milliseconds after, std::function<void()> act) {
         due_.emplace(Clock::now() + after, std::move(act));
     }
     void serve() {
         reader = std::make_unique<RawServer>(loop, [this](RawServer::Peer& p) {
-            if (p.server->last.starts_with("DELETE")) return p.send(kLetGo);
-            if (!hangs()) later(up_to(60ms), [&p] { p.send(kRead); });
+            if (p.server->last.starts_with("DELETE")) return p.send(kNoContentResponse);
+            if (!hangs()) later(up_to(60ms), [&p] { p.send(kAcceptedResponse); });
         });
         writer = std::make_unique<RawServer>(loop, [this](RawServer::Peer& p) {
-            if (p.server->last.starts_with("DELETE")) return p.send(kLetGo);
+            if (p.server->last.starts_with("DELETE")) return p.send(kNoContentResponse);
             if (!hangs()) stream(p);
         });
     }
@@ -107,7 +107,7 @@
             later(at += up_to(80ms), [&p] { p.send(chunked(net::testing::kEvent)); });
         later(at + 1ms, [&p] { p.send(chunked("data: [DONE]\n\n") + "0\r\n\r\n"); });
     }
-    // One turn of the stand-ins and the clients.
+    // Runs one turn of the stand-ins and the clients.
     void turn() {
         uv_run(&loop, UV_RUN_NOWAIT);
         while (!due_.empty() && due_.begin()->first <= Clock::now()) {
@@ -125,7 +125,7 @@
             c.connection = std::make_unique<DirectClient>(address);
         }
         const bool open = c.connection->read();
-        if (!c.id.empty() && whole_answer(c.connection->got)) {
+        if (!c.id.empty() && is_complete_answer(c.connection->got)) {
             c.id.clear();
             c.next_at = now + up_to(30ms);
         }
@@ -140,11 +140,11 @@
     void send_request(LoadClient& c) {
         c.id = "q" + std::to_string(++requests_sent_);
         c.connection->got.clear();
-        // Its time grows with its prompt, beyond its class's deadline.
-        const auto left = plan_.deadline + up_to(3 * plan_.deadline);
+        // The request may last longer than its class's deadline, as its time limit grows with its prompt.
+        const auto time_left = plan_.deadline + up_to(3 * plan_.deadline);
         c.sent_at = Clock::now();
         c.connection->try_send(platform_messages::post(c.id, draw_() % 2 == 0 ? "chat" : "order", "",
-                                                       std::to_string(left.count()) + "m"));
+                                                       std::to_string(time_left.count()) + "m"));
     }
     void record_unanswered(const LoadClient& c, bool by_kill) {
         unanswered_.push_back(
@@ -154,11 +154,11 @@
         const auto end = Clock::now() + time;
         while (Clock::now() < end && !exited) turn();
     }
-    // Whether the rules take it for lost.
+    // Returns whether the gateway is responsible for the missing answer.
     bool lost(const Unanswered& u, Clock::time_point terminated_at) const {
         if (u.by_kill) return u.sent_at > terminated_at + 700ms;
         if (u.started) return !plan_.resume;
-        // One that crossed the end of its connection, and was not read, is sent again by its client.
+        // A client resends a request that the gateway had not read when the connection ended.
         return log().find("\"request\":\"" + u.id + "\"") != std::string::npos;
     }
 
@@ -172,14 +172,14 @@
 };
 INSTANTIATE_TEST_SUITE_P(Seeds, ShutdownSoak, ::testing::Range(1U, 61U));
 
-TEST_P(ShutdownSoak, NothingTakenIsLost) {
+TEST_P(ShutdownSoak, NoAcceptedRequestIsLost) {
     serve();
     start(reader->address, writer->address, "");
-    std::vector<std::unique_ptr<DirectClient>> client_workload;
-    for (int i = 0; i < plan_.client_workload; ++i)
-        client_workload.push_back(std::make_unique<DirectClient>(address));
+    std::vector<std::unique_ptr<DirectClient>> idle_connections;
+    for (int i = 0; i < plan_.idle_connections; ++i)
+        idle_connections.push_back(std::make_unique<DirectClient>(address));
     clients_.resize(static_cast<std::size_t>(plan_.clients));
-    run_for(plan_.run_up);
+    run_for(plan_.warm_up);
     ASSERT_FALSE(exited) << log();
 
     std::optional<Clock::time_point> terminated_at;
@@ -190,13 +190,13 @@
     }
     connect_until_ = *terminated_at + 300ms;
     run_for(*terminated_at + plan_.kill_after() - Clock::now());
-    const bool ended_by_itself = exited;
+    const bool exited_by_itself = exited;
     if (!exited) kill();
     until([this] { return exited; });
     for (auto& c : clients_) {
         if (c.connection == nullptr || c.id.empty()) continue;
         c.connection->read();
-        if (!whole_answer(c.connection->got)) record_unanswered(c, !ended_by_itself);
+        if (!is_complete_answer(c.connection->got)) record_unanswered(c, !exited_by_itself);
     }
     int lost_requests = 0;
     for (const auto& u : unanswered_) {
@@ -208,8 +208,8 @@
                       << (u.by_kill ? ", killed" : ", ended by the gateway");
     }
     EXPECT_EQ(lost_requests, 0) << "deadline " << plan_.deadline.count() << " ms, resume " << plan_.resume
-                                << ", clients " << plan_.clients << ", crowd " << plan_.client_workload
-                                << "\n"
+                                << ", clients " << plan_.clients << ", idle connections "
+                                << plan_.idle_connections << "\n"
                                 << log();
     EXPECT_GT(requests_sent_, 0);
 }
--- a/tests/membership/update_sequence_test.cpp
+++ b/tests/membership/update_sequence_test.cpp
@@ -9,8 +9,8 @@
 constexpr auto kSnapshot = EndpointUpdateKind::snapshot;
 constexpr auto kDelta = EndpointUpdateKind::delta;
 
-// Guards against changes that are applied to a list other than the one that they follow.
-TEST(UpdateSequence, DeltaWithoutAListBeforeItIsNotApplied) {
+// Guards against applying a delta to a list other than the one that it follows.
+TEST(UpdateSequence, DeltaWithoutAPrecedingListIsNotApplied) {
     UpdateSequence sequence;
     EXPECT_EQ(sequence.accept(kDelta, 17, false), Decision::out_of_order);
     EXPECT_EQ(sequence.accept(kDelta, 17, true), Decision::out_of_order);
@@ -22,7 +22,7 @@
     EXPECT_EQ(sequence.generation(), std::nullopt);
 }
 
-TEST(UpdateSequence, DeltaOfAnEarlierOrTheSameVersionIsNotApplied) {
+TEST(UpdateSequence, DeltaOfTheSameOrAnEarlierVersionIsNotApplied) {
     UpdateSequence sequence;
     EXPECT_EQ(sequence.accept(kSnapshot, 41, false), Decision::apply);
     EXPECT_EQ(sequence.accept(kDelta, 41, true), Decision::ignore);
@@ -32,7 +32,7 @@
     EXPECT_EQ(sequence.generation(), 41);
 }
 
-TEST(UpdateSequence, SnapshotIsAppliedWhateverItsVersion) {
+TEST(UpdateSequence, SnapshotOfAnyVersionIsApplied) {
     UpdateSequence sequence;
     EXPECT_EQ(sequence.accept(kSnapshot, 41, false), Decision::apply);
     EXPECT_EQ(sequence.accept(kSnapshot, 3, false), Decision::apply);
--- a/tests/net/discovery_stand_in.hpp
+++ b/tests/net/discovery_stand_in.hpp
@@ -1,5 +1,5 @@
-// A discovery service as the platform's protocol page describes it: a numbered list, told whole or as what
-// has changed after a version.
+// A discovery service that follows the platform's protocol: a numbered list, sent complete or as the changes
+// since a version.
 #pragma once
 
 #include <functional>
@@ -23,7 +23,7 @@
 
     using Deliver = std::function<void(RawServer::Peer&, const std::string&)>;
 
-    // `deliver`: sends bytes of an answer, now or later.
+    // `deliver` sends bytes of a response, at once or later.
     DiscoveryStandIn(
         uv_loop_t& loop, std::vector<Instances> history,
         Deliver deliver = [](RawServer::Peer& peer, const std::string& bytes) { peer.send(bytes); })
@@ -31,27 +31,26 @@
           deliver_(std::move(deliver)),
           server_(loop, [this](RawServer::Peer& peer) { answer(peer); }) {}
 
-    // The list from now on. Open watches are told what has changed.
+    // Replaces the list and sends the changes on the open watches.
     void set(Instances instances) {
         versions_.push_back(std::move(instances));
         for (auto* const watch : watches_)
             if (!watch->disconnected) deliver_(*watch, chunked(changes_since(generation() - 1) + "\n"));
     }
-    // Ends all connections, open watches among them.
+    // Closes all connections, including open watches.
     void disconnect() {
         for (auto& peer : server_.peers) peer->close();
         watches_.clear();
     }
-
-    // Open watches stay open, and are told nothing any more.
-    void lose_watches() { watches_.clear(); }
-    // The same list under the number 0: earlier versions are not known any more.
+    // Leaves the open watches open without sending anything on them any more.
+    void stall_watches() { watches_.clear(); }
+    // Closes all connections and restarts with the same list as version 0; earlier versions are forgotten.
     void restart() {
         disconnect();
         versions_ = {versions_.back()};
     }
 
-    // Is a watch open?
+    // Returns whether a watch is open.
     [[nodiscard]] bool watched() const {
         return std::any_of(watches_.begin(), watches_.end(),
                            [](const auto* watch) { return !watch->disconnected; });
@@ -60,8 +59,8 @@
     [[nodiscard]] const Instances& current() const { return versions_.back(); }
     [[nodiscard]] const std::vector<Instances>& history() const { return versions_; }
     [[nodiscard]] int generation() const { return static_cast<int>(versions_.size()) - 1; }
-    // The whole list of a version, as the configuration's `known` has it, too.
-    [[nodiscard]] std::string whole(int version) const {
+    // Returns the complete list of a version, also in the format of the configuration's `known`.
+    [[nodiscard]] std::string complete_list(int version) const {
         std::string instances;
         for (const auto& [id, instance] : versions_.at(static_cast<std::size_t>(version)))
             append(instances, entry(id, instance, "up"));
@@ -72,10 +71,11 @@
     void answer(RawServer::Peer& peer) {
         const std::string target = peer.server->last.substr(0, peer.server->last.find("\r\n"));
         if (target.find("follow=1") == std::string::npos)
-            return deliver_(peer, sized(200, whole(generation())));
+            return deliver_(peer, sized(200, complete_list(generation())));
         const int since = std::stoi(target.substr(target.find("since=") + 6));
         const bool known = since >= 0 && since <= generation();
-        deliver_(peer, kStreamHead + chunked((known ? changes_since(since) : whole(generation())) + "\n"));
+        deliver_(peer,
+                 kStreamHead + chunked((known ? changes_since(since) : complete_list(generation())) + "\n"));
         watches_.push_back(&peer);
     }
     [[nodiscard]] std::string changes_since(int version) const {
--- a/tests/net/platform_rig.hpp
+++ b/tests/net/platform_rig.hpp
@@ -1,4 +1,4 @@
-// The edge on the users' platform, on real sockets, with scripted discovery and servers.
+// A fixture for the gateway on the users' platform: real sockets, scripted discovery and servers.
 #pragma once
 
 #include <sys/socket.h>
@@ -15,10 +15,10 @@
 
 inline const std::string kEvent = "data: {\"choices\":[]}\n\n";
 inline const std::string kStream = kStreamHead + chunked(kEvent) + chunked("data: [DONE]\n\n") + "0\r\n\r\n";
-inline const std::string kRead = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
-inline const std::string kLetGo = "HTTP/1.1 204 No Content\r\n\r\n";
+inline const std::string kAcceptedResponse = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+inline const std::string kNoContentResponse = "HTTP/1.1 204 No Content\r\n\r\n";
 
-// Whether the last call to a stand-in for discovery wants a watch; else it wants the list.
+// Returns whether the last call to a stand-in for discovery requests a watch; otherwise it requests the list.
 inline bool is_watch_request(const RawServer& discovery) {
     return discovery.last.find("follow=1") != std::string::npos;
 }
@@ -31,12 +31,13 @@
         edge.reset();
         discovery.reset();
     }
-    // Discovery, a good reader, and a writer that does as it is told.
+    // Starts discovery, a correct reader, a writer that answers with `write`, and the gateway.
     void begin(
         std::function<void(RawServer::Peer&)> write,
         const std::function<void(config::EdgeSettings&)>& change = [](auto&) {}) {
-        reader = std::make_unique<RawServer>(
-            loop, [](RawServer::Peer& p) { p.send(p.server->last.starts_with("DELETE") ? kLetGo : kRead); });
+        reader = std::make_unique<RawServer>(loop, [](RawServer::Peer& p) {
+            p.send(p.server->last.starts_with("DELETE") ? kNoContentResponse : kAcceptedResponse);
+        });
         writer = std::make_unique<RawServer>(loop, std::move(write));
         discovery = std::make_unique<RawServer>(loop, [this](RawServer::Peer& p) {
             if (!quiet) answer_discovery(p);
@@ -46,7 +47,7 @@
     void answer_discovery(RawServer::Peer& p) {
         if (!is_watch_request(*p.server)) {
             list_responses += 1;
-            return p.send(sized(200, whole(41)));
+            return p.send(sized(200, complete_list(41)));
         }
         watch_requests += 1;
         open_watch = &p;
@@ -57,8 +58,7 @@
         const auto configuration = platform::parse_configuration(
             messages::configuration_text(format_address(discovery->address)), {});
         auto settings = core::platform_settings(configuration.value());
-        settings.router.dial_timeout =
-            5s;  // a busy machine must not look like a server that can't be dialled
+        settings.router.dial_timeout = 5s;  // a busy machine must not cause dial time-outs
         change(settings);
         log = std::make_unique<observe::Log>("t", "off");
         auto list = std::make_unique<DiscoveryWatch>(loop, *log, configuration->discovery, std::move(known),
@@ -67,15 +67,18 @@
         edge = std::make_unique<EdgeServer>(loop, settings, *log, std::move(list));
     }
     WatchLimits watch_limits;
-    [[nodiscard]] std::string whole(int generation) const {
+    [[nodiscard]] std::string complete_list(int generation) const {
         return messages::list_text(messages::instance("r1", "reader", format_address(reader->address)) + "," +
                                        messages::instance("w1", "writer", format_address(writer->address)),
                                    generation);
     }
-    bool answered(RawClient& c, const std::string& what) {
-        return until([&] { return c.got().find(what) != std::string::npos || c.closed(); }) &&
-               c.got().find(what) != std::string::npos;
+    // Waits until the client has received a response with `text` in it, or its connection is closed.
+    bool answered(RawClient& c, const std::string& text) {
+        return until([&] { return c.got().find(text) != std::string::npos || c.closed(); }) &&
+               c.got().find(text) != std::string::npos;
     }
+    // Sends a request on a new connection, and returns whether its complete stream arrives. The gateway holds
+    // requests until it has a list, so the first one served shows that the list is in force.
     bool served(const std::string& id) {
         RawClient& c = client();
         c.send(messages::post(id));
@@ -87,22 +90,22 @@
             return config.endpoint.id.value == server && config.endpoint.state == EndpointState::up;
         });
     }
-    // Until the list is in force, requests are held: the first one served says that it is.
     std::unique_ptr<RawServer> discovery;
     int list_responses = 0;
     int watch_requests = 0;
-    RawServer::Peer* open_watch = nullptr;  // the last one
+    RawServer::Peer* open_watch = nullptr;  // connection of the last watch
     DiscoveryWatch* watch = nullptr;
-    bool quiet = false;
+    bool quiet = false;  // discovery does not respond
 };
 
-// A client that acts between two turns of the loop: what it does is there before the loop looks again.
+// A client that uses its socket directly, without the loop. What it does between two turns of the loop is
+// complete before the gateway's next turn.
 class DirectClient {
 public:
     explicit DirectClient(const Address& address) : socket_(::socket(AF_INET, SOCK_STREAM, 0)) {
-        sockaddr_in where{};
-        uv_ip4_addr(address.host.c_str(), address.port, &where);
-        EXPECT_EQ(connect(socket_, reinterpret_cast<const sockaddr*>(&where), sizeof where), 0);
+        sockaddr_in peer{};
+        uv_ip4_addr(address.host.c_str(), address.port, &peer);
+        EXPECT_EQ(connect(socket_, reinterpret_cast<const sockaddr*>(&peer), sizeof peer), 0);
     }
     ~DirectClient() { close(); }
     DirectClient(const DirectClient&) = delete;
@@ -112,7 +115,7 @@
         EXPECT_EQ(::send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL),
                   static_cast<ssize_t>(bytes.size()));
     }
-    // The same where the other side may have gone.
+    // Sends without checking the result, as the other side may have closed the connection.
     void try_send(const std::string& bytes) const {
         (void)::send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     }
@@ -121,11 +124,11 @@
         if (socket_ >= 0) ::close(std::exchange(socket_, -1));
     }
     void reset() {
-        const linger hard{1, 0};
-        setsockopt(socket_, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+        const linger reset_on_close{1, 0};
+        setsockopt(socket_, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
         close();
     }
-    // Takes what has come. False once the other side has ended the connection.
+    // Reads the available bytes into `got`. Returns false once the other side has ended the connection.
     bool read() {
         std::string bytes(65536, '\0');
         for (;;) {
@@ -135,7 +138,7 @@
                 continue;
             }
             if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return true;
-            // A reset behind the end leaves an error on the socket, which reading alone does not show.
+            // A reset after the end of the stream leaves an error on the socket that recv() does not return.
             int error = 0;
             socklen_t size = sizeof error;
             getsockopt(socket_, SOL_SOCKET, SO_ERROR, &error, &size);
@@ -144,7 +147,7 @@
         }
     }
     std::string got;
-    bool in_good_order = false;  // the connection ended by a shutdown, not by a reset
+    bool in_good_order = false;  // the connection ended with a FIN, not with a reset
 
 private:
     int socket_ = -1;
--- a/tests/net/platform_socket_test.cpp
+++ b/tests/net/platform_socket_test.cpp
@@ -1,4 +1,4 @@
-// The edge on the users' platform, on real sockets, against scripted peers.
+// The gateway on the users' platform, on real sockets, against scripted peers.
 #include "net/platform_rig.hpp"
 
 namespace chalksail::net::testing {
@@ -8,36 +8,39 @@
     begin([](auto& p) { p.send(kStream); });
     EXPECT_TRUE(served("a1"));
     EXPECT_TRUE(served("a2"));
-    EXPECT_EQ(writer->peers.size(), 1U);  // the connection was kept
+    EXPECT_EQ(writer->peers.size(), 1U);  // the connection was reused
     EXPECT_NE(writer->last.find("X-Correlation-Id: a2"), std::string::npos);
 }
 
-// Clients that ask once and keep their connection for good filled all places, and whoever came next was
-// closed on (half of a churn day was lost so).
+// Guards against idle connections that use up the connection limit: clients that sent one request and kept
+// their connections open caused new connections to be closed, which lost half the requests of a simulated day
+// with client churn.
 TEST_F(PlatformRig, ReusableConnectionsMakeRoomForNewOnes) {
     begin([](auto& p) { p.send(kStream); }, [](auto& s) { s.limits.client_connections = 4; });
     for (int i = 0; i < 12; ++i) EXPECT_TRUE(served("a" + std::to_string(i))) << i;
     EXPECT_GE(std::count_if(clients.begin(), clients.end(), [](const auto& c) { return c->closed(); }), 8);
 }
 
-// A crowd that says nothing is let go of in its time, and never keeps a request out.
-TEST_F(PlatformRig, ManySilentClientsKeepNobodyOut) {
+// Clients that send nothing are disconnected after the first-request time-out, and do not prevent other
+// clients from connecting.
+TEST_F(PlatformRig, ManySilentClientsDoNotExcludeOthers) {
     begin([](auto& p) { p.send(kStream); },
           [](auto& s) {
               s.limits.client_connections = 4;
               s.limits.first_timeout = 300ms;
           });
     for (int i = 0; i < 12; ++i) client();
-    const auto client_workload = clients.size();
+    const auto silent_clients = clients.size();
     EXPECT_TRUE(until([&] {
-        return std::all_of(clients.begin(), clients.begin() + static_cast<std::ptrdiff_t>(client_workload),
+        return std::all_of(clients.begin(), clients.begin() + static_cast<std::ptrdiff_t>(silent_clients),
                            [](const auto& c) { return c->closed(); });
     }));
     EXPECT_TRUE(served("a1"));
 }
 
-// An error that is followed by a close while the client still sends would be eaten by a reset.
-TEST_F(PlatformRig, ErrorIsReadByAClientThatGoesOnSending) {
+// Guards against closing the connection while the client still sends: the reset would discard the error
+// response before the client reads it.
+TEST_F(PlatformRig, ClientThatIsStillSendingReceivesTheError) {
     begin([](auto& p) { p.send(kStream); });
     RawClient& c = client();
     c.send("POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
@@ -47,8 +50,9 @@
     EXPECT_EQ(reader->requests, 0);
 }
 
-// Each is within its own limit; all together they would take the memory.
-TEST_F(PlatformRig, HalfRequestsTogetherStayWithinALimit) {
+// Guards against many incomplete requests that are each within the request size limit but together use too
+// much memory.
+TEST_F(PlatformRig, IncompleteRequestsShareALimit) {
     begin([](auto& p) { p.send(kStream); }, [](auto& s) { s.limits.unfinished_bytes = 500'000; });
     const std::string half =
         "POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 250000\r\n\r\n" + std::string(200'000, 'x');
@@ -60,15 +64,16 @@
     EXPECT_TRUE(served("a1"));
 }
 
-// Its end was there before the next request: that goes out on another connection, and only once.
-TEST_F(PlatformRig, ConnectionThatWasClosedOrSentMoreIsNotReused) {
-    for (const auto& more : {std::string(), kStream}) {
+// The server closed the connection, or sent extra bytes, before the next request: that request must be sent
+// on another connection, and only once.
+TEST_F(PlatformRig, ConnectionThatWasClosedOrHasExtraBytesIsNotReused) {
+    for (const auto& extra : {std::string(), kStream}) {
         int count = 0;
         begin([&](auto& p) {
             p.send(kStream);
             if (++count > 1) return;
-            if (more.empty()) p.close();
-            else p.send(more);
+            if (extra.empty()) p.close();
+            else p.send(extra);
         });
         EXPECT_TRUE(served("a1"));
         EXPECT_TRUE(served("a2"));
@@ -78,10 +83,10 @@
     }
 }
 
-// ---- bad clients ----
+// ---- clients that violate the protocol ----
 
 class BadClient : public PlatformRig, public ::testing::WithParamInterface<std::string> {};
-TEST_P(BadClient, GetsAnErrorOrACloseAndNothingIsPassedOn) {
+TEST_P(BadClient, GetsAnErrorOrACloseAndNothingIsForwarded) {
     begin([](auto& p) { p.send(kStream); },
           [](auto& s) {
               s.limits.request_idle_timeout = 200ms;
@@ -111,8 +116,8 @@
         messages::post("half").substr(0, messages::post("half").size() - 4), messages::post("bad", "nobody"),
         messages::post("bad", "chat", "", "soon"), messages::post("")));
 
-// Hundreds at once, on one connection and on many, and at once again after each refusal.
-TEST_F(PlatformRig, CrowdsAreAnsweredOneByOne) {
+// Hundreds of invalid requests pipelined on one connection, beside a hundred connections with valid requests.
+TEST_F(PlatformRig, EveryRequestOfManyClientsIsAnsweredOnce) {
     begin([](auto& p) { p.send(kStream); });
     RawClient& c = client();
     std::string bad;
@@ -133,10 +138,10 @@
     EXPECT_EQ(c.got().find("HTTP/1.1 2"), std::string::npos);
 }
 
-// Guards against attempts for a client that has gone: a close behind bytes that nobody had read was not
-// heard.
-TEST_F(PlatformRig, CloseBehindRequestsSentAheadIsNoticed) {
-    begin([](auto&) {});  // the writer says nothing
+// Guards against attempts for a client that has disconnected: a close after pipelined bytes that the gateway
+// had not read yet was not detected.
+TEST_F(PlatformRig, CloseAfterPipelinedRequestsIsDetected) {
+    begin([](auto&) {});  // the writer does not respond
     RawClient& c = client();
     std::string all = messages::post("a1");
     for (int i = 0; i < 200; ++i) all += messages::post("b" + std::to_string(i));
@@ -148,7 +153,7 @@
     EXPECT_EQ(writer->requests, 1);
 }
 
-// ---- bad servers ----
+// ---- servers that violate the protocol ----
 
 class BadServer : public PlatformRig, public ::testing::WithParamInterface<std::pair<std::string, bool>> {};
 TEST_P(BadServer, EndsTheClientsStreamOrItsAttemptAndIsNotUsedAgain) {
@@ -156,14 +161,14 @@
     begin([&](auto& p) { p.send(++count == 1 ? GetParam().first : kStream); });
     RawClient& c = client();
     c.send(messages::post("a1", "order"));
-    if (GetParam().second) {  // events of it were passed on: cut, without the stream's end
+    if (GetParam().second) {  // events were forwarded: the stream is cut without its final chunk
         ASSERT_TRUE(until([&] { return c.closed(); }));
         EXPECT_NE(c.got().find(kEvent), std::string::npos);
         EXPECT_EQ(c.got().find("\r\n0\r\n\r\n"), std::string::npos);
     } else {
         EXPECT_TRUE(answered(c, "HTTP/1.1 502"));
     }
-    EXPECT_EQ(count, 1);  // it may have run
+    EXPECT_EQ(count, 1);  // no second attempt: the first one may have run
     EXPECT_TRUE(until([&] { return writer->peers[0]->disconnected; }));
 }
 INSTANTIATE_TEST_SUITE_P(
@@ -177,7 +182,7 @@
                       std::pair(kStreamHead + chunked(kEvent) + "C0000000\r\n" + std::string(200'000, 'a'),
                                 true)));
 
-TEST_F(PlatformRig, GoodStreamThatBringsMoreIsServed) {
+TEST_F(PlatformRig, ValidStreamWithInformationalResponsesOrExtraBytesIsServed) {
     for (const auto& all :
          {"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + kStream,
           kStream + kStream}) {
@@ -190,8 +195,8 @@
 
 // ---- discovery ----
 
-TEST_F(PlatformRig, WatchIsTakenUpAgainWithTheWholeList) {
-    watch_limits.silence_timeout = 1h;  // it is not silence that ends a watch here
+TEST_F(PlatformRig, WatchIsReopenedAfterRequestingTheCompleteList) {
+    watch_limits.silence_timeout = 1h;  // no watch times out in this test
     begin([](auto& p) { p.send(kStream); });
     EXPECT_TRUE(served("a1"));
     ASSERT_TRUE(until([&] { return watch_requests == 1; }));
@@ -200,39 +205,39 @@
     ASSERT_TRUE(until([&] { return list_responses == 2 && watch_requests == 2; }));
     EXPECT_NE(discovery->last.find("/v1/endpoints?follow=1&since=41 "), std::string::npos);
     EXPECT_TRUE(served("a2"));
-    // What can't be read: the list stays, and is asked for whole.
+    // After a malformed update the list stays in force, and the complete list is requested.
     open_watch->send(chunked("{\"generation\":42,\"instances\":[{}]}\n"));
     ASSERT_TRUE(until([&] { return list_responses == 3 && watch_requests == 3; }));
     EXPECT_TRUE(served("a3"));
 }
 
-// Guards against a discovery that starts anew under its watch and counts from a lower number: its changes
-// were passed over as known. They tell that the whole list is needed.
-TEST_F(PlatformRig, ChangesThatDoNotFollowAreAnsweredByTheWholeList) {
-    watch_limits.silence_timeout = 1h;  // it is not silence that ends a watch here
+// Guards against a discovery that restarts during a watch and numbers its versions from a lower number: its
+// changes were ignored as already known. Such changes mean that the complete list is needed.
+TEST_F(PlatformRig, OutOfOrderChangesCauseARequestForTheCompleteList) {
+    watch_limits.silence_timeout = 1h;  // no watch times out in this test
     begin([](auto& p) { p.send(kStream); });
     EXPECT_TRUE(served("a1"));
     ASSERT_TRUE(until([&] { return watch_requests == 1; }));
-    const auto disconnected = messages::instance("w1", "writer", format_address(writer->address), "removed");
-    open_watch->send(chunked(messages::list_text(disconnected, 5, false) + "\n"));
+    const auto removed = messages::instance("w1", "writer", format_address(writer->address), "removed");
+    open_watch->send(chunked(messages::list_text(removed, 5, false) + "\n"));
     ASSERT_TRUE(until([&] { return list_responses == 2 && watch_requests == 2; }));
-    EXPECT_TRUE(served("a2"));  // the whole list has the writer
-    // An empty change of a known version tells nothing, and costs nothing.
+    EXPECT_TRUE(served("a2"));  // the complete list contains the writer
+    // An empty delta of the version in force is ignored.
     open_watch->send(chunked(messages::list_text("", 41, false) + "\n"));
     EXPECT_TRUE(served("a3"));
     EXPECT_EQ(discovery->requests, 4);
 }
 
-// A list may come in pieces, spread over lines, with white space anywhere.
-TEST_F(PlatformRig, ListMayComeIndentedAndInParts) {
+// A list may arrive byte by byte, spread over lines, with white space anywhere.
+TEST_F(PlatformRig, IndentedListInManyPartsIsApplied) {
     begin([](auto& p) { p.send(kStream); });
     EXPECT_TRUE(served("a1"));
     ASSERT_TRUE(until([&] { return watch_requests == 1; }));
     const auto draining = messages::instance("w1", "writer", format_address(writer->address), "draining");
-    const std::string spread =
+    const std::string indented =
         "\r\n  {\n  \"generation\": 42,\n\t\"reset\": false,\n  \"instances\": [\n    " + draining +
         "\n  ]\n}\n";
-    for (const char c : spread) open_watch->send(chunked(std::string(1, c)));
+    for (const char c : indented) open_watch->send(chunked(std::string(1, c)));
     RawClient& c = client();
     ASSERT_TRUE(until([&] { return !in_service("w1"); }));
     c.send(messages::post("a2", "chat", "", "300m"));
@@ -240,8 +245,8 @@
     EXPECT_EQ(discovery->requests, 2);
 }
 
-// The answer to a call for the list may be a stream that stays open: the watch does not wait for its end.
-TEST_F(PlatformRig, ListThatDoesNotEndIsFollowedByTheWatch) {
+// The response to a list call may be a stream that stays open: the watch must not wait for its end.
+TEST_F(PlatformRig, WatchFollowsAListResponseThatStaysOpen) {
     watch_limits.object_silence_timeout = 50ms;
     watch_limits.silence_timeout = 1h;
     bool watched = false;
@@ -249,7 +254,7 @@
     edge.reset();
     discovery = std::make_unique<RawServer>(loop, [&](RawServer::Peer& p) {
         watched = watched || is_watch_request(*p.server);
-        p.send(kStreamHead + (is_watch_request(*p.server) ? "" : chunked(whole(41) + "\n")));
+        p.send(kStreamHead + (is_watch_request(*p.server) ? "" : chunked(complete_list(41) + "\n")));
     });
     open(std::nullopt, [](auto&) {});
     EXPECT_TRUE(served("a1"));
@@ -257,9 +262,9 @@
     EXPECT_EQ(discovery->requests, 2);
 }
 
-// Guards against a watch that stops inside an object: what was in it is missed, and a pause there is no pause
-// between two changes.
-TEST_F(PlatformRig, WatchThatStopsInsideAnObjectIsTakenUpAnewSoon) {
+// Guards against treating a pause inside an object like a pause between two changes: the change in the
+// incomplete object would be missed until the longer time-out.
+TEST_F(PlatformRig, WatchThatStallsInsideAnObjectIsReplacedSoon) {
     watch_limits.object_silence_timeout = 50ms;
     watch_limits.silence_timeout = 1h;
     begin([](auto& p) { p.send(kStream); });
@@ -270,26 +275,26 @@
     EXPECT_TRUE(until([&] { return list_responses > lists_before; }));
 }
 
-TEST_F(PlatformRig, OldListServesWhileDiscoveryIsDown) {
+TEST_F(PlatformRig, CachedListIsUsedWhileDiscoveryIsDown) {
     quiet = true;
     begin([](auto& p) { p.send(kStream); });
     edge.reset();
-    open(platform::parse_endpoint_list(whole(7)).value(), [](auto&) {});
+    open(platform::parse_endpoint_list(complete_list(7)).value(), [](auto&) {});
     EXPECT_TRUE(served("a1"));
     EXPECT_TRUE(discovery->last.starts_with("GET /v1/endpoints HTTP/1.1\r\n"));
 }
 
-// A watch that says nothing, not even an empty line, may have lost its other end.
-TEST_F(PlatformRig, SilentWatchIsTakenUpAnew) {
+// A watch without any byte, not even white space, may have lost its connection.
+TEST_F(PlatformRig, SilentWatchIsReplaced) {
     watch_limits.silence_timeout = 100ms;
     begin([](auto& p) { p.send(kStream); });
     EXPECT_TRUE(until([&] { return list_responses >= 3; }));
     EXPECT_TRUE(served("a1"));
 }
 
-// Guards against a call to a discovery that takes connections and says nothing: it is answered at once or
-// given up, long before an old watch's silence counts.
-TEST_F(PlatformRig, CallForTheListThatIsNotAnsweredIsMadeAnewSoon) {
+// Guards against waiting for a discovery that accepts connections and does not respond: a list call times out
+// much sooner than a silent watch.
+TEST_F(PlatformRig, UnansweredListCallIsRepeatedSoon) {
     watch_limits.object_silence_timeout = 50ms;
     watch_limits.silence_timeout = 1h;
     quiet = true;
@@ -299,9 +304,9 @@
     EXPECT_TRUE(served("a1"));
 }
 
-// Guards against a discovery that is slower than the time given to a call: here each call is answered when
-// the next one has come.
-TEST_F(PlatformRig, ListThatIsAnsweredLateIsTaken) {
+// Guards against never receiving a list from a discovery that is slower than the time-out of a call: here
+// each call is answered only after the next one has arrived.
+TEST_F(PlatformRig, LateListResponseIsApplied) {
     watch_limits.object_silence_timeout = 50ms;
     watch_limits.silence_timeout = 1h;
     begin([](auto& p) { p.send(kStream); });
@@ -309,18 +314,18 @@
     RawServer::Peer* waiting = nullptr;
     discovery = std::make_unique<RawServer>(loop, [&](RawServer::Peer& p) {
         if (is_watch_request(*p.server)) return p.send(kStreamHead);
-        if (waiting != nullptr) waiting->send(sized(200, whole(41)));
+        if (waiting != nullptr) waiting->send(sized(200, complete_list(41)));
         waiting = &p;
     });
     open(std::nullopt, [](auto&) {});
     EXPECT_TRUE(served("a1"));
     ASSERT_TRUE(until([&] { return is_watch_request(*discovery); }));
-    EXPECT_EQ(discovery->requests, 3);                          // the list twice, then the watch
-    EXPECT_TRUE(until([&] { return waiting->disconnected; }));  // its answer is not needed
+    EXPECT_EQ(discovery->requests, 3);                          // two list calls, then the watch
+    EXPECT_TRUE(until([&] { return waiting->disconnected; }));  // the second list call was cancelled
 }
 
-// The later call may be answered first, and the earlier one after it.
-TEST_F(PlatformRig, LateAnswerBehindTheListChangesNothing) {
+// The later of two list calls may be answered first; the response to the earlier one is then ignored.
+TEST_F(PlatformRig, LateResponseAfterTheListIsIgnored) {
     watch_limits.object_silence_timeout = 50ms;
     watch_limits.silence_timeout = 1h;
     begin([](auto& p) { p.send(kStream); });
@@ -329,8 +334,8 @@
     discovery = std::make_unique<RawServer>(loop, [&](RawServer::Peer& p) {
         if (is_watch_request(*p.server)) return p.send(kStreamHead);
         if (std::exchange(waiting, &p) == nullptr) return;
-        p.send(sized(200, whole(41)));
-        discovery->peers[0]->send(sized(200, whole(40)));
+        p.send(sized(200, complete_list(41)));
+        discovery->peers[0]->send(sized(200, complete_list(40)));
     });
     open(std::nullopt, [](auto&) {});
     EXPECT_TRUE(served("a1"));
@@ -339,9 +344,9 @@
     EXPECT_TRUE(served("a2"));
 }
 
-// Guards against what was kept of the old discovery's versions: the new one may count from a lower number,
-// and would leave out what it takes for known.
-TEST_F(PlatformRig, DiscoveryMovesAndTheListStays) {
+// Guards against using version numbers of the previous discovery with the new one, which may count from a
+// lower number and would leave out changes that it takes for known.
+TEST_F(PlatformRig, ListStaysInForceWhileDiscoveryMoves) {
     begin([](auto& p) { p.send(kStream); });
     EXPECT_TRUE(served("a1"));
     RawServer other(loop, [](auto&) {});
@@ -349,7 +354,7 @@
     ASSERT_TRUE(until([&] { return other.requests == 1; }));
     EXPECT_TRUE(other.last.starts_with("GET /v1/endpoints HTTP/1.1\r\n"));
     EXPECT_TRUE(served("a2"));
-    other.peers[0]->send(sized(200, whole(3)));
+    other.peers[0]->send(sized(200, complete_list(3)));
     ASSERT_TRUE(until([&] { return other.requests == 2; }));
     EXPECT_NE(other.last.find("follow=1&since=3 "), std::string::npos);
     other.peers.back()->send(
@@ -359,17 +364,17 @@
                 messages::instance("w1", "writer", format_address(writer->address), "draining"), 4, false) +
             "\n"));
     ASSERT_TRUE(until([&] { return !in_service("w1"); }));
-    const auto sent = writer->requests;
+    const auto requests_before = writer->requests;
     RawClient& c = client();
     c.send(messages::post("a3", "chat", "", "300m"));
     EXPECT_TRUE(answered(c, "HTTP/1.1 503"));  // no writer is in service
-    EXPECT_EQ(writer->requests, sent);
+    EXPECT_EQ(writer->requests, requests_before);
     stop();
 }
 
-// ---- going away ----
+// ---- shutdown ----
 
-// New connections still come, and clients go on with the ones that they have.
+// During the grace period new connections are accepted, and clients can use their open connections.
 TEST_F(PlatformRig, AcceptsRequestsForAGracePeriodAfterTheSignalThenEnds) {
     begin([](auto& p) { p.send(kStream); }, [](auto& s) { s.limits.drain_grace = 300ms; });
     RawClient& reused = client();
