--- a/tests/net/cache_restart_test.cpp
+++ b/tests/net/cache_restart_test.cpp
@@ -1,4 +1,4 @@
-// An edge that starts anew, on real sockets: what the one before it had learnt is of use at once.
+// Restarts a gateway, on real sockets: the cache snapshots of the previous process must be usable at once.
 #include <filesystem>
 
 #include "net/rig.hpp"
@@ -51,7 +51,8 @@
         }
         return false;
     }
-    // The second one was begun after this was asked for: all that is known now is in it.
+    // Waits for two further snapshots. The second one was begun after the call, so it contains everything
+    // known at the call.
     bool written_twice() {
         const double before = metric("prefix_snapshots_written");
         for (int i = 0; i < 20'000; ++i)
@@ -67,30 +68,30 @@
     }
     std::filesystem::path folder;
     std::unique_ptr<lab::CachePublisher> publisher;
-    std::uint64_t last = 0;
+    std::uint64_t last = 0;  // hash of the last published block
 };
 
-TEST_F(Restart, WhatWasLearntIsOfUseAtOnce) {
+TEST_F(Restart, SnapshotIsUsedAfterARestart) {
     begin();
     ASSERT_TRUE(reaches("prefix_servers_told", 1, true));
     ASSERT_TRUE(reaches("prefix_blocks", static_cast<double>(last), false));
     ASSERT_TRUE(written_twice());
     edge.reset();
     begin();
-    // The engine says nothing new; it answers what it is asked.
+    // The engine publishes nothing new; it only responds to the replay request.
     ASSERT_TRUE(reaches("prefix_servers_told", 1, false));
     EXPECT_EQ(metric("prefix_blocks"), static_cast<double>(last));
     EXPECT_EQ(metric("prefix_snapshots_proved"), 1);
 }
 
-TEST_F(Restart, EngineThatRestartedMeanwhileIsNotBelieved) {
+TEST_F(Restart, SnapshotOfAnEngineThatRestartedIsDiscarded) {
     begin();
     ASSERT_TRUE(reaches("prefix_servers_told", 1, true));
     ASSERT_TRUE(written_twice());
     edge.reset();
     publisher->start();
     const auto before = last;
-    for (last = 0; last < before + 5;) publisher->publish({block(++last)});  // as many, and more
+    for (last = 0; last < before + 5;) publisher->publish({block(++last)});  // more batches than before
     begin();
     ASSERT_TRUE(reaches("prefix_restarts", 1, false));
     EXPECT_EQ(metric("prefix_blocks"), 0);
--- a/tests/net/wall_clock_step_test.cpp
+++ b/tests/net/wall_clock_step_test.cpp
@@ -1,5 +1,5 @@
-// The wall clock is stepped under a running gateway; the monotonic clock runs on. clock_gettime() is replaced
-// in this program.
+// Steps the wall clock of a running gateway while the monotonic clock continues. This program replaces
+// clock_gettime().
 #include <dlfcn.h>
 
 #include <ctime>
@@ -7,7 +7,7 @@
 #include "net/platform_rig.hpp"
 
 namespace {
-std::chrono::seconds wall_step{0};  // that the wall clock has been moved by
+std::chrono::seconds wall_step{0};  // offset that is added to the wall clock
 }
 
 extern "C" int clock_gettime(clockid_t clock, timespec* out) {
@@ -46,19 +46,20 @@
         watch->start(*this);
         ASSERT_TRUE(until([&] { return lists.size() == 1 && peer != nullptr; }));
     }
-    void tell(const std::string& id, std::int64_t started_ms) {
+    // Sends a list change with one server, and waits until it was applied.
+    void send_change(const std::string& id, std::int64_t started_ms) {
         const auto before = lists.size();
         peer->send(chunked(list(id, started_ms, static_cast<int>(before) + 1, false)));
         ASSERT_TRUE(until([&] { return lists.size() == before + 1; }));
     }
     static std::string list(const std::string& id, std::int64_t started_ms, int generation,
-                            bool whole = true) {
+                            bool complete = true) {
         auto entry = messages::instance(id, "writer", "127.0.0.1:9");
-        const std::string zero = "\"startedAtMs\":0";
-        entry.replace(entry.find(zero), zero.size(), "\"startedAtMs\":" + std::to_string(started_ms));
-        return messages::list_text(entry, generation, whole) + "\n";
+        const std::string started = "\"startedAtMs\":0";
+        entry.replace(entry.find(started), started.size(), "\"startedAtMs\":" + std::to_string(started_ms));
+        return messages::list_text(entry, generation, complete) + "\n";
     }
-    // How long ago the server of the last list started, by the clock that the module goes by.
+    // Returns how long ago the server of the last list started, on the monotonic clock.
     [[nodiscard]] Duration age() const {
         return uv_now_time() - lists.back().endpoints.at(0).endpoint.started_at;
     }
@@ -69,14 +70,14 @@
     std::vector<membership::EndpointList> lists;
 };
 
-// Guards against a cold server that is taken for a warm one, or a warm one for a cold one.
-TEST_F(WallClockStep, ServersThatStartBehindAStepWarmUpForTheRightTime) {
+// Guards against treating a cold server as warm, or a warm one as cold, after a step of the wall clock.
+TEST_F(WallClockStep, ServersThatStartAfterAStepWarmUpForTheCorrectTime) {
     for (const auto step :
          {std::chrono::seconds(-3600), std::chrono::seconds(3600), std::chrono::seconds(-7)}) {
         begin();
         EXPECT_NEAR(seconds(age()), 5, 2);
         wall_step = step;
-        tell("new", wall_ms() - 100);
+        send_change("new", wall_ms() - 100);
         EXPECT_NEAR(seconds(age()), 0.1, 2) << step.count();
         watch.reset();
         discovery.reset();
@@ -86,17 +87,17 @@
     }
 }
 
-// Guards against servers that seem to have started anew as the wall clock has moved.
-TEST_F(WallClockStep, ServerListedAgainBehindAStepIsTheSame) {
+// Guards against treating servers as restarted because the wall clock was stepped.
+TEST_F(WallClockStep, ServerListedAgainAfterAStepKeepsItsStartTime) {
     begin();
     const auto started = wall_ms() - 4000;
-    tell("w", started);
-    const Time born = lists.back().endpoints.at(0).endpoint.started_at;
+    send_change("w", started);
+    const Time started_at = lists.back().endpoints.at(0).endpoint.started_at;
     for (const auto step :
          {std::chrono::seconds(3600), std::chrono::seconds(-3600), std::chrono::seconds(-2)}) {
         wall_step = step;
-        tell("w", started);
-        EXPECT_EQ(lists.back().endpoints.at(0).endpoint.started_at, born) << step.count();
+        send_change("w", started);
+        EXPECT_EQ(lists.back().endpoints.at(0).endpoint.started_at, started_at) << step.count();
     }
 }
 
