--- a/src/core/active_requests.cpp
+++ b/src/core/active_requests.cpp
@@ -13,7 +13,7 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-[[maybe_unused]] bool may_follow(RequestPhase from, RequestPhase to) {
+[[maybe_unused]] bool is_valid_transition(RequestPhase from, RequestPhase to) {
     switch (to) {
         case RequestPhase::waiting: return false;
         case RequestPhase::overdue:
@@ -79,7 +79,7 @@
     StreamLimit limit;
     limit.end = *request.first_chunk + limits.max_stream_duration;
     if (request.migrate_at) limit.end = std::min(limit.end, *request.migrate_at);
-    // A client that wants one object has nothing in hand until the end: its deadline holds on.
+    // A client that does not stream receives nothing before the end, so its deadline still applies.
     if (!request.streams()) limit.end = std::min(limit.end, request.deadline);
     limit.idle = (paused ? now : request.last_chunk) + limits.stream_idle_timeout;
     return limit;
@@ -124,24 +124,24 @@
     return ids;
 }
 
-void ActiveRequests::enter(ActiveRequest& request, RequestPhase phase) {
-    assert(may_follow(request.phase, phase));
+void ActiveRequests::set_phase(ActiveRequest& request, RequestPhase phase) {
+    assert(is_valid_transition(request.phase, phase));
     request.phase = phase;
 }
 
 void ActiveRequests::start_stream(ActiveRequest& request, Time now) {
-    enter(request, RequestPhase::streaming);
+    set_phase(request, RequestPhase::streaming);
     request.first_chunk = now;
     streaming_ += 1;
 }
 
 void ActiveRequests::mark_overdue(ActiveRequest& request) {
-    if (!request.finished()) enter(request, RequestPhase::overdue);
+    if (!request.finished()) set_phase(request, RequestPhase::overdue);
 }
 
 void ActiveRequests::finish(ActiveRequest& request) {
     if (request.phase == RequestPhase::streaming) streaming_ -= 1;
-    enter(request, RequestPhase::finished);
+    set_phase(request, RequestPhase::finished);
     unfinished_ -= 1;
     by_client_.erase(request.client.value);
     clear_timer(request);
--- a/src/core/active_requests.hpp
+++ b/src/core/active_requests.hpp
@@ -1,8 +1,8 @@
-// The requests of clients that are not over: from their arrival until the final answer is given and no
-// attempt of them is in flight.
+// The active requests of clients: from their arrival until the final response is sent and no attempt is in
+// flight.
 //
-// Owns each request's phase, its deadline and timer, and the counts and limits over all of them. Free of I/O
-// and clock; not thread-safe; no errors.
+// Owns each request's phase, deadline and timer, and the counts and limits for all requests. No I/O, no
+// clock; not thread-safe; reports no errors.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -26,46 +26,45 @@
 
 enum class RequestPhase {
     waiting,    // the client has received nothing
-    overdue,    // the same, and its deadline has passed
-    streaming,  // the client receives, or will receive, the answer of the attempt in flight
-    finished,   // the final answer is given, or the client has disconnected
+    overdue,    // the client has received nothing, and the deadline has passed
+    streaming,  // the client receives, or will receive, the response of the attempt in flight
+    finished,   // the final response has been sent, or the client has disconnected
 };
 
-// One request.
 struct ActiveRequest {
     RequestId id;
     ClientId client;
     ParsedRequest parsed;
-    std::size_t body_bytes = 0;  // as long as the body is kept
+    std::size_t body_bytes = 0;  // size of the body; 0 once it has been freed
     Time arrived{};
-    Time deadline{};                 // the client's, less the time that an answer needs
-    std::optional<Time> migrate_at;  // a stream that still runs then is cut, for its client to resume it
-    std::vector<CachedPrefix> reported_prefixes;  // by all servers, also by those not trusted
+    Time deadline{};                 // the client's deadline less the time reserved for the response
+    std::optional<Time> migrate_at;  // a stream still running then is broken, for its client to resume it
+    std::vector<CachedPrefix> reported_prefixes;  // by all servers, trusted or not
 
     RequestPhase phase = RequestPhase::waiting;
-    std::optional<CallId> attempt;  // in flight
-    std::int64_t attempts = 0;      // so far
-    // When and where the first attempt was sent that is not proved not to have run.
+    std::optional<CallId> attempt;  // the attempt in flight
+    std::int64_t attempts = 0;      // attempts begun so far
+    // When and where the first attempt that may have run was sent.
     struct FirstRun {
         Time begun{};
         Endpoint endpoint;
     };
     std::optional<FirstRun> first_run;
 
-    std::optional<Time> first_chunk;  // of the answer
+    std::optional<Time> first_chunk;  // when the first chunk of the response was received
     Time last_chunk{};
     std::int64_t chunks = 0;
-    double counted_prompt_tokens = 0;  // by the prefill server; 0: not reported
+    double counted_prompt_tokens = 0;  // as counted by the prefill server; 0: not reported
     std::string last_outcome;
     std::string attempt_history;  // see observe::RequestRecord
 
     [[nodiscard]] bool finished() const { return phase == RequestPhase::finished; }
     [[nodiscard]] bool stream_started() const { return first_chunk.has_value(); }
-    // Does its client get a stream, not one object at the end?
+    // Returns true if the client gets a stream, false if it gets one response at the end.
     [[nodiscard]] bool streams() const { return parsed.protocol_session->streams(); }
-    // Prompt tokens as an engine counted them; 0: none has.
+    // Returns the number of prompt tokens that a server reported; 0: not reported.
     [[nodiscard]] double reported_prompt_tokens() const;
-    // Tokens of its prompt that this server reported as cached when the request arrived.
+    // Returns the number of prompt tokens that the server reported as cached when the request arrived.
     [[nodiscard]] double reported_cached_tokens(const std::string& server) const;
     // Adds an attempt that has ended to the history.
     void record_attempt(const UpstreamCall& call, const AttemptResult& result, const std::string& detail,
@@ -81,56 +80,57 @@
     void append_to_history(const std::string& text);
 };
 
-// Until when a stream may go on. The settings are limits of this process, not of the client.
+// The times at which a stream is aborted. They follow from this process's settings, not from the client.
 struct StreamLimit {
-    Time end{};   // of the whole answer
-    Time idle{};  // without another chunk
+    Time end{};   // latest end of the whole response
+    Time idle{};  // idle timeout, if no further chunk is received
     [[nodiscard]] Time next_check() const { return std::min(end, idle); }
     [[nodiscard]] bool reached(Time now) const { return now >= end || now >= idle; }
 };
-// `paused`: the response is not read because the client is slow; its engine can't be called silent then.
+// `paused` is true if the response is not read because the client is slow; the idle timeout does not run
+// then.
 [[nodiscard]] StreamLimit stream_limit(const ActiveRequest& request, const config::EdgeLimits& limits,
                                        bool paused, Time now);
 
-// When the attempt has to have ended.
+// Returns the time at which the attempt is aborted: the request's deadline, or the attempt's earlier timeout.
 [[nodiscard]] Time attempt_deadline(const ActiveRequest& request, const UpstreamCall& attempt);
 
 class ActiveRequests {
 public:
     explicit ActiveRequests(const config::EdgeLimits& limits) : limits_(limits) {}
 
-    // Is there room for another request with so many bytes of body?
+    // Returns true if the limits allow another request with a body of this size.
     [[nodiscard]] bool has_capacity(std::size_t body_bytes) const;
-    // The number for the next request.
+    // Returns the number of the next request.
     [[nodiscard]] std::uint64_t next_number() { return ++last_number_; }
     ActiveRequest& add(std::unique_ptr<ActiveRequest> request);
-    // nullptr: it is over.
+    // Returns nullptr if the request has been removed.
     [[nodiscard]] ActiveRequest* find(RequestId id) const;
-    // nullptr: the client has no unfinished request.
+    // Returns nullptr if the client has no unfinished request.
     [[nodiscard]] ActiveRequest* find(ClientId client) const;
     [[nodiscard]] bool attempt_in_flight(RequestId id) const;
-    // All that have no final answer, in the order of their arrival.
+    // Returns all requests without a final response, in order of arrival.
     [[nodiscard]] std::vector<RequestId> unfinished() const;
 
     // ---- transitions ----
 
-    // The first chunk of the answer is here.
+    // Records that the first chunk of the response was received.
     void start_stream(ActiveRequest& request, Time now);
-    // The deadline has passed without an answer. Nothing if the request is finished.
+    // Records that the deadline has passed without a response. Does nothing if the request is finished.
     static void mark_overdue(ActiveRequest& request);
-    // The final answer is given, or the client has disconnected.
+    // Records that the final response has been sent or the client has disconnected.
     void finish(ActiveRequest& request);
-    // Forgets a request that is finished and has no attempt in flight.
+    // Removes a request that is finished and has no attempt in flight.
     void remove(ActiveRequest& request);
 
-    // Frees the body: nothing more is sent of it.
+    // Frees the request's body. No further attempt may be sent after this.
     void drop_body(ActiveRequest& request);
 
     // ---- timers: each request has at most one ----
 
     void set_timer(ActiveRequest& request, Time at);
     void clear_timer(ActiveRequest& request);
-    // The next request whose timer is due, and removes that timer.
+    // Removes the earliest timer that is due and returns its request; nullptr if none is due.
     [[nodiscard]] ActiveRequest* pop_due(Time now);
     [[nodiscard]] std::optional<Time> next_timer() const;
 
@@ -140,17 +140,17 @@
     [[nodiscard]] std::size_t streaming_count() const { return streaming_; }
 
 private:
-    // The one place where a phase changes.
-    static void enter(ActiveRequest& request, RequestPhase phase);
+    // Changes the phase; no other function does.
+    static void set_phase(ActiveRequest& request, RequestPhase phase);
 
     const config::EdgeLimits& limits_;
-    std::unordered_map<std::uint64_t, std::unique_ptr<ActiveRequest>> requests_;  // looked up, never walked
-    std::unordered_map<std::uint64_t, RequestId> by_client_;                      // the unfinished ones
+    std::unordered_map<std::uint64_t, std::unique_ptr<ActiveRequest>> requests_;  // never iterated: unordered
+    std::unordered_map<std::uint64_t, RequestId> by_client_;                      // unfinished requests
     std::set<std::pair<Time, RequestId>> timers_;
     std::uint64_t last_number_ = 0;
     std::size_t unfinished_ = 0;
     std::size_t streaming_ = 0;
-    std::size_t body_bytes_ = 0;  // of all bodies that are kept
+    std::size_t body_bytes_ = 0;  // total size of the bodies not yet freed
 };
 
 }  // namespace chalksail::core
--- a/src/core/attempt_guard.hpp
+++ b/src/core/attempt_guard.hpp
@@ -1,8 +1,9 @@
-// The rules that every attempt keeps, whatever the router decides: at most one in flight for a request, none
-// after its final answer or deadline, none to a server out of service, and no repeat of what may have run
-// beyond its class's idempotency.
+// Enforces the rules for attempts independently of the router: at most one attempt in flight for each
+// request, none after its final response or its deadline, none to a server that is out of service, and no
+// repetition of an attempt that may have run unless the idempotency of the request's class allows it.
 //
-// The router keeps them by itself; what is stopped here is a fault. Stateless; no errors.
+// The router follows these rules itself; an attempt that is stopped here indicates a defect. Stateless;
+// reports no errors.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -21,19 +22,20 @@
     AttemptGuard(const Settings& settings, const EndpointRegistry& endpoints)
         : settings_(settings), endpoints_(endpoints) {}
 
-    // Why this attempt must not be sent; nothing: it may.
+    // Returns the reason why this attempt must not be sent; std::nullopt if it may be sent.
     [[nodiscard]] std::optional<observe::GuardReason> check(const ActiveRequest& request, const Send& attempt,
                                                             Time now) const;
-    // May an attempt that waited for its connection to this server still begin? The wait may have outlasted
-    // the client, the deadline or the window for repeats.
+    // Returns true if an attempt that waited for its connection to this server may still begin. Meanwhile the
+    // client may have disconnected, the deadline passed or the deduplication window ended.
     [[nodiscard]] bool may_begin(const ActiveRequest& request, const std::string& server, Time now) const;
-    // May the client be answered that the request was not run?
+    // Returns true if the client may be told that the request was not run.
     [[nodiscard]] bool may_reject(const ActiveRequest& request) const;
-    // Is a retry by the client harmless?
+    // Returns true if the client can safely retry.
     [[nodiscard]] bool retryable(const ActiveRequest& request) const;
 
 private:
-    // May another attempt begin at this server? Deduplication scopes are distinguished by its zone and cell.
+    // Returns true if another attempt may begin at this server. Its zone and cell determine whether it is
+    // within the deduplication scope of the first attempt.
     [[nodiscard]] bool repeat_allowed(const ActiveRequest& request, const std::string& server,
                                       Time now) const;
     [[nodiscard]] const RequestClassSettings& class_of(const ActiveRequest& request) const {
--- a/src/core/attempt_result.cpp
+++ b/src/core/attempt_result.cpp
@@ -29,14 +29,14 @@
     result.ending = ending;
     if (call.prefill && ending == ExchangeEnd::response_received)
         result.prefill = protocol.parse_prefill(call.status, call.body);
-    const bool whole_stream = stream_started && call.parser != nullptr && call.parser->complete();
+    const bool stream_complete = stream_started && call.parser != nullptr && call.parser->complete();
     engine::AttemptObservation observation;
     observation.ending = ending;
     observation.sent = call.sent();
     observation.written = call.written();
     observation.prefill = call.prefill;
     observation.started = stream_started;
-    observation.complete = call.prefill ? result.prefill.has_value() : whole_stream;
+    observation.complete = call.prefill ? result.prefill.has_value() : stream_complete;
     observation.status = call.status;
     observation.not_run = call.head.not_run;
     result.classification = protocol.classify(observation, call.server_kind);
@@ -58,7 +58,7 @@
     observation.complete = true;
     observation.status = call.status;
     const AttemptOutcome outcome = engine::classify(observation).outcome;
-    // An engine without a health check is not known to be well.
+    // Any other status does not show that the server is healthy; it may have no health check.
     if (outcome == AttemptOutcome::ok && call.status != 200) return AttemptOutcome::error;
     return outcome;
 }
--- a/src/core/attempt_result.hpp
+++ b/src/core/attempt_result.hpp
@@ -1,5 +1,5 @@
-// How an attempt ended, and what that proves. The one place in the core that says so; the rules themselves
-// are the protocol's and engine/outcome.hpp's. Pure functions of the call; no errors.
+// Classifies how an attempt ended and what that proves. No other part of the core does so; the rules are
+// those of the protocol and of engine/outcome.hpp. Pure functions of the call; reports no errors.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -14,27 +14,28 @@
 struct AttemptResult {
     engine::ExchangeEnd ending = engine::ExchangeEnd::response_received;
     engine::AttemptClassification classification;
-    std::optional<PrefillResult> prefill;  // of a prefill attempt that ended well
+    std::optional<PrefillResult> prefill;  // of a successful prefill attempt
 
     [[nodiscard]] AttemptOutcome outcome() const { return classification.outcome; }
-    // The server found the request itself at fault (4xx): its answer goes to the client.
+    // The server rejected the request as invalid (4xx): its response is forwarded to the client.
     [[nodiscard]] bool client_error() const { return classification.client_error; }
-    // Served to its end.
+    // The request was served completely.
     [[nodiscard]] bool ok() const { return outcome() == AttemptOutcome::ok && !client_error(); }
-    // The server has reacted to the attempt, so that it arrived.
+    // Returns true if the server has responded, which proves that the attempt arrived.
     [[nodiscard]] bool proves_arrival(const UpstreamCall& call) const;
-    // Not proved not to have run. A prefill has no effect and never counts.
+    // Returns true unless the attempt is proved not to have run. Always false for a prefill, which has no
+    // effect and can be repeated.
     [[nodiscard]] bool may_have_run(const UpstreamCall& call) const;
-    // A prefill that was cancelled may have ended well all the same, with its answer on the way, and so may
-    // one whose answer can't be read.
+    // Returns true if a prefill may have completed although no valid response was received: it was cancelled
+    // or lost while its response was on the way, or the response is malformed.
     [[nodiscard]] bool may_have_left_kv_state(const UpstreamCall& call) const;
 };
 
-// `stream_started`: the client of the request received a part of an answer.
+// `stream_started` is true if the client has received a part of a response.
 [[nodiscard]] AttemptResult classify_attempt(const Protocol& protocol, const UpstreamCall& call,
                                              engine::ExchangeEnd ending, bool stream_started);
 
-// If the attempt were cancelled now, could its server have received it?
+// Returns true if the server may have received the attempt, were it cancelled now.
 [[nodiscard]] bool may_have_arrived(const Protocol& protocol, const UpstreamCall& call);
 
 [[nodiscard]] AttemptOutcome classify_health_check(const UpstreamCall& call, engine::ExchangeEnd ending);
--- a/src/core/attempt_runner.cpp
+++ b/src/core/attempt_runner.cpp
@@ -42,8 +42,8 @@
     ActiveRequest& request = *parts_.requests.find(call.request);
     auto progress = call.parser->feed(bytes);
     if (progress.events > 0) {
-        // Its client has disconnected, and the router may not cancel attempts.
-        if (request.finished()) return abort(id, ExchangeEnd::cancelled, "client gone", now, output);
+        // The client has disconnected, and the settings do not let the router cancel attempts.
+        if (request.finished()) return abort(id, ExchangeEnd::cancelled, "client disconnected", now, output);
         request.last_chunk = now;
         parts_.endpoints.record_activity(call.server, now);
         request.chunks += progress.events;
@@ -61,7 +61,7 @@
     }
 }
 
-// The first event is here: from now on the client gets this attempt's answer.
+// Handles the first event of a decode response: from now on the client gets this attempt's response.
 void AttemptRunner::start_stream(ActiveRequest& request, const UpstreamCall& call, Time now,
                                  StepOutput& output) {
     parts_.requests.start_stream(request, now);
@@ -100,8 +100,8 @@
     parts_.kv_states.attempt_ended(request.id, call, result, now, output);
     record_attempt(request, call, result, detail, now, output);
     output.notify(std::move(event));
-    if (!request.finished()) completion_.answer_after(request, call, result, detail, now, output);
-    completion_.remove_if_over(request, now, output);
+    if (!request.finished()) completion_.respond_after_attempt(request, call, result, detail, now, output);
+    completion_.remove_if_complete(request, now, output);
 }
 
 AttemptEnded AttemptRunner::attempt_ended_event(const ActiveRequest& request, const UpstreamCall& call,
@@ -112,7 +112,8 @@
     event.server = {call.server};
     event.outcome = result.outcome();
     event.elapsed = now - call.begun;
-    // The break of a stream that had started ends the request, as its good end and a client error do.
+    // Once its stream has started, the request finishes with the attempt, whether that succeeded or not. A
+    // client error also finishes it.
     event.request_finished = request.finished() || request.stream_started() || result.client_error();
     event.kv_state_missing = result.classification.kv_state_missing;
     if (result.prefill) event.cached_prompt_tokens = result.prefill->cached_tokens.value_or(0);
@@ -160,21 +161,23 @@
     output.record(std::move(record));
 }
 
-void AttemptRunner::withhold(const std::set<std::string>& servers, Time now, StepOutput& output) {
+void AttemptRunner::withdraw_queued(const std::set<std::string>& servers, Time now, StepOutput& output) {
     for (const CallId id : parts_.calls.queued_attempts(servers))
         abort(id, ExchangeEnd::withdrawn, "list", now, output);
 }
 
 void AttemptRunner::mark_unverified(const std::string& server, const std::string& detail, Time now,
                                     StepOutput& output) {
-    // What still waits for a connection there would fail the same way, and cost a handshake each.
-    if (parts_.endpoints.mark_unverified(server, detail, now, output)) withhold({server}, now, output);
+    // Attempts that still wait for a connection to this server would fail in the same way, after one
+    // handshake each.
+    if (parts_.endpoints.mark_unverified(server, detail, now, output)) withdraw_queued({server}, now, output);
 }
 
 void AttemptRunner::set_timer(ActiveRequest& request, const UpstreamCall& attempt) {
     Time due = attempt_deadline(request, attempt);
-    // Guards against a state that waits for an attempt which never arrives: until it has answered the state's
-    // time runs on, whether the connection does not come up or is silent.
+    // The time until a held KV state is released keeps running until the server responds. Otherwise an
+    // attempt that never arrives, because its connection is not established or its server is silent, would
+    // delay the release.
     const auto release = parts_.kv_states.release_due(request.id);
     if (release && attempt.status == 0) due = std::min(due, *release);
     parts_.requests.set_timer(request, due);
--- a/src/core/cache_index.cpp
+++ b/src/core/cache_index.cpp
@@ -15,7 +15,9 @@
 prefix::TokenText token_text(const config::EdgeSettings& settings,
                              std::shared_ptr<const engine::Vocabulary> vocabulary) {
     if (settings.cache_events.vocabulary != config::Vocabulary::tokenizer) return engine::four_bytes_of;
-    if (vocabulary == nullptr) throw std::invalid_argument("cache-events: the tokenizer is missing");
+    if (vocabulary == nullptr)
+        throw std::invalid_argument(
+            "cache-events: the settings name a tokenizer, but no vocabulary was given");
     return [vocabulary = std::move(vocabulary)](prefix::Token token, std::string& out) {
         return vocabulary->text(token, out);
     };
@@ -26,9 +28,9 @@
 CacheIndex::CacheIndex(const config::EdgeSettings& settings,
                        std::shared_ptr<const engine::Vocabulary> vocabulary)
     : settings_(settings) {
-    const bool published = std::any_of(settings.kinds.begin(), settings.kinds.end(),
-                                       [](const auto& kind) { return kind.cache_events; });
-    if (!published) return;
+    const bool any_publishes = std::any_of(settings.kinds.begin(), settings.kinds.end(),
+                                           [](const auto& kind) { return kind.cache_events; });
+    if (!any_publishes) return;
     prefix::ReportedCaches::Limits limits;
     limits.index.max_blocks_per_engine = static_cast<std::size_t>(settings.cache_events.blocks_per_server);
     limits.decode.max_bytes = settings.cache_events.message_bytes;
@@ -56,7 +58,8 @@
     next_snapshot_at_ = now + settings_.cache_events.snapshot_interval;
 }
 
-void CacheIndex::follow(const EndpointRegistry::Endpoints& endpoints, Time now, StepOutput& output) {
+void CacheIndex::update_subscriptions(const EndpointRegistry::Endpoints& endpoints, Time now,
+                                      StepOutput& output) {
     if (caches_ == nullptr) return;
     std::map<std::string, Source> wanted;
     for (const auto& [id, config] : endpoints) {
@@ -74,8 +77,8 @@
         if (stores_snapshots()) output.emit(DropCacheSnapshot{server});
     }
     for (const auto& [server, source] : wanted) {
-        const auto before = subscriptions_.find(server);
-        if (before == subscriptions_.end() || before->second != source)
+        const auto previous = subscriptions_.find(server);
+        if (previous == subscriptions_.end() || previous->second != source)
             output.emit(SubscribeCacheEvents{server, source.events, source.replay});
         restore_snapshot(server, now, output);
     }
@@ -83,7 +86,8 @@
     notify_changes(output);
 }
 
-// A snapshot from before this process started counts once a replay shows that the engine is the same process.
+// Restores a snapshot stored before this process started. It is trusted only after a replay has shown that
+// the server is still the same process.
 void CacheIndex::restore_snapshot(const std::string& server, Time now, StepOutput& output) {
     const auto stored = restored_snapshots_.find(server);
     if (stored == restored_snapshots_.end()) return;
@@ -104,16 +108,16 @@
     expire_replays(now, output);
 }
 
-// One server at a time, each once in `snapshot_interval`, so that no turn of the event loop writes more than
-// one.
+// Stores the snapshot of one server at a time, each once per `snapshot_interval`, so that no iteration of the
+// event loop writes more than one.
 void CacheIndex::store_due_snapshot(Time now, StepOutput& output) {
     if (subscriptions_.empty() || now < next_snapshot_at_) return;
     auto it = subscriptions_.upper_bound(last_snapshot_server_);
     if (it == subscriptions_.end()) it = subscriptions_.begin();
     last_snapshot_server_ = it->first;
     const auto servers = static_cast<std::int64_t>(subscriptions_.size());
-    const Duration pause = settings_.cache_events.snapshot_interval / servers;
-    next_snapshot_at_ = now + std::max(settings_.router.tick, pause);
+    const Duration interval = settings_.cache_events.snapshot_interval / servers;
+    next_snapshot_at_ = now + std::max(settings_.router.tick, interval);
     if (auto bytes = caches_->snapshot(last_snapshot_server_))
         output.emit(StoreCacheSnapshot{last_snapshot_server_, std::move(*bytes)});
 }
--- a/src/core/cache_index.hpp
+++ b/src/core/cache_index.hpp
@@ -1,9 +1,9 @@
-// What prefill servers report of their prefix caches: subscriptions to their cache events, replays of past
-// ones, stored snapshots, and the index of cached prefixes (prefix::ReportedCaches) that they feed.
+// Maintains the index of cached prefixes (prefix::ReportedCaches) from the cache events of prefill servers:
+// manages the subscriptions to these events, replays of past events, and stored snapshots.
 //
-// Does nothing where the settings name no kind of server that publishes cache events. Free of I/O and clock;
-// not thread-safe. Wrong events of servers are counted and cost speed only; the constructor throws
-// std::invalid_argument where the settings name a tokenizer and none is given.
+// Does nothing if the settings name no kind of server that publishes cache events. No I/O, no clock; not
+// thread-safe. Incorrect events are counted and affect only performance; the constructor throws
+// std::invalid_argument if the settings name a tokenizer and no vocabulary is given.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -36,29 +36,31 @@
     void apply(const CacheEventMessage& message, Time now, StepOutput& output);
     void apply(const CacheReplayEnded& replay, StepOutput& output);
     void apply(CacheSnapshots& snapshots, Time now);
-    // Subscribes to the listed endpoints that publish cache events, and to no others.
-    void follow(const EndpointRegistry::Endpoints& endpoints, Time now, StepOutput& output);
-    // Stores the snapshot whose turn it is, and gives up replays that have taken too long.
+    // Subscribes to the listed endpoints that publish cache events, and unsubscribes from all others.
+    void update_subscriptions(const EndpointRegistry::Endpoints& endpoints, Time now, StepOutput& output);
+    // Stores the next snapshot if it is due, and abandons replays that have exceeded their timeout.
     void run_timers(Time now, StepOutput& output);
-    // When run_timers() is due.
+    // Returns the time at which run_timers() is due next.
     [[nodiscard]] std::optional<Time> next_timer() const;
 
-    // ---- use ----
+    // ---- queries ----
 
-    // The prefixes of the prompt that servers report as cached, also of servers whose reports are not
-    // trusted.
+    // Returns the prefixes of the prompt that servers report as cached, including reports of servers that are
+    // not trusted.
     [[nodiscard]] std::vector<CachedPrefix> cached_prefixes(const std::string& prompt_text) const;
-    // Are the server's reports to be used, and is what it doesn't report taken for not cached?
+    // Returns true if the server's reports are trusted: what it reports counts as cached, and all else as not
+    // cached.
     [[nodiscard]] bool trusted(const std::string& server) const;
-    // Compares a prefill that ended well with what was reported before it; this moves the server's trust.
+    // Compares a successful prefill with the server's earlier reports, and adjusts the trust in the server.
     void record_prefill(const std::string& server, const prefix::ObservedPrefill& prefill,
                         StepOutput& output);
     [[nodiscard]] Counts counts() const;
-    // Does any kind of server publish cache events?
+    // Returns true if any kind of server publishes cache events.
     [[nodiscard]] bool enabled() const { return caches_ != nullptr; }
 
 private:
-    struct Source {  // where one server publishes
+    // The addresses at which one server publishes cache events.
+    struct Source {
         Address events;
         std::optional<Address> replay;
         bool operator==(const Source&) const = default;
@@ -72,11 +74,11 @@
     [[nodiscard]] bool stores_snapshots() const { return next_snapshot_at_ != Time::max(); }
 
     const config::EdgeSettings& settings_;
-    std::unique_ptr<prefix::ReportedCaches> caches_;         // nullptr: no kind publishes cache events
+    std::unique_ptr<prefix::ReportedCaches> caches_;         // nullptr if no kind publishes cache events
     std::map<std::string, Source> subscriptions_;            // by server
-    std::map<std::string, Time> replay_deadlines_;           // of the replays under way, by server
+    std::map<std::string, Time> replay_deadlines_;           // of the replays in progress, by server
     std::map<std::string, std::string> restored_snapshots_;  // of servers that are not listed yet
-    std::string last_snapshot_server_;                       // whose turn it was
+    std::string last_snapshot_server_;                       // the server of the last stored snapshot
     Time next_snapshot_at_ = Time::max();                    // Time::max(): no snapshots are stored
 };
 
--- a/src/core/client_response.cpp
+++ b/src/core/client_response.cpp
@@ -4,13 +4,13 @@
 
 namespace chalksail::core {
 
-void send_response(ClientId client, ClientResponse answer, StepOutput& output) {
-    output.emit(SendResponse{client, answer.status, std::move(answer.headers), std::move(answer.body)});
+void send_response(ClientId client, ClientResponse response, StepOutput& output) {
+    output.emit(SendResponse{client, response.status, std::move(response.headers), std::move(response.body)});
 }
 
-void send_end_of_answer(const ActiveRequest& request, StepOutput& output) {
+void complete_response(const ActiveRequest& request, StepOutput& output) {
     ProtocolSession& session = *request.parsed.protocol_session;
-    if (!request.streams()) return send_response(request.client, session.collected(), output);
+    if (!request.streams()) return send_response(request.client, session.collected_response(), output);
     if (auto tail = session.stream_tail(); !tail.empty())
         output.emit(SendStreamBytes{request.client, std::move(tail)});
     output.emit(EndStream{request.client});
--- a/src/core/client_response.hpp
+++ b/src/core/client_response.hpp
@@ -1,4 +1,4 @@
-// The ends of answers to clients, as effects. Stateless; no errors.
+// Emits the effects that send or complete responses to clients. Stateless; reports no errors.
 #pragma once
 
 #include <string>
@@ -15,14 +15,15 @@
 inline constexpr int kServiceUnavailable = 503;
 inline constexpr int kGatewayTimeout = 504;
 
-// Sends a whole response.
-void send_response(ClientId client, ClientResponse answer, StepOutput& output);
+// Sends a complete response.
+void send_response(ClientId client, ClientResponse response, StepOutput& output);
 
-// Ends the answer of a request that was served: the end of its stream, or the one object.
-void send_end_of_answer(const ActiveRequest& request, StepOutput& output);
+// Completes the response to a request that was served: ends its stream, or sends the collected response.
+void complete_response(const ActiveRequest& request, StepOutput& output);
 
-// Tells the client of a failure: in its stream if one has started and the protocol has a form for that, by
-// closing it if not, else by a whole response. `retryable`: a retry is harmless.
+// Reports a failure to the client. If its stream has started, sends the protocol's error event, or closes the
+// connection if the protocol has none; otherwise sends an error response. `retryable` is true if the client
+// can safely retry.
 void send_failure(const ActiveRequest& request, int status, const std::string& message, bool retryable,
                   StepOutput& output);
 
--- a/src/core/core_parts.hpp
+++ b/src/core/core_parts.hpp
@@ -1,5 +1,5 @@
-// The owners of the core's state, together, for the classes that coordinate them: Edge, RequestIntake,
-// AttemptRunner and RequestCompletion. Each part is reached through its interface only.
+// The owners of the core's state, grouped for the classes that coordinate them: Edge, RequestIntake,
+// AttemptRunner and RequestCompletion. Each part is used through its public interface only.
 #pragma once
 
 #include <memory>
@@ -25,7 +25,7 @@
           requests(settings.limits),
           kv_states(settings, *protocol, endpoints, calls),
           guard(settings.router, endpoints) {}
-    CoreParts(const CoreParts&) = delete;  // the parts refer to one another
+    CoreParts(const CoreParts&) = delete;  // the parts hold references to each other
     CoreParts& operator=(const CoreParts&) = delete;
 
     const config::EdgeSettings settings;
--- a/src/core/edge.cpp
+++ b/src/core/edge.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-// Steps of the router within one of the core: it comes to rest in two or three.
-constexpr int kRouterRounds = 64;
+// Maximum router steps within one step of the core, against endless loops; two or three are typical.
+constexpr int kMaxRouterRounds = 64;
 
 observe::EndpointListRecord record_of(const membership::EndpointList& list) {
     observe::EndpointListRecord record;
@@ -48,10 +48,11 @@
 Edge::~Edge() = default;
 
 std::vector<Output> Edge::step(Time now, std::vector<Input> inputs) {
-    // Guards against a clock that jumps back: time stands still until it has caught up.
+    // If the clock jumps back, the core's time stands still until the clock has caught up.
     now_ = std::max(now_, now);
-    // What was sent counts first, wherever it stands among the rest: a list, a disconnect or a time-out in
-    // the same turn must not take an attempt for one that never left, and so for one proved not to have run.
+    // Sent and written bytes are processed before all other inputs, whatever their order. Otherwise an
+    // endpoint list, a disconnect or a timeout in the same step could classify an attempt as unsent, and so
+    // as proved not to have run.
     for (const auto& input : inputs) {
         if (const auto* sent = std::get_if<CallSent>(&input)) on(*sent);
         if (const auto* written = std::get_if<CallWritten>(&input)) on(*written);
@@ -117,27 +118,28 @@
                        : request->attempt        ? TerminationReason::disconnected_during_attempt
                                                  : TerminationReason::disconnected_before_attempt,
                        now_, output_);
-    if (!request->attempt) return completion_.remove_if_over(*request, now_, output_);
+    if (!request->attempt) return completion_.remove_if_complete(*request, now_, output_);
     const UpstreamCall& attempt = *parts_.calls.find(*request->attempt);
-    // The router never cancels a started stream by itself; one that has not started is the router's to
-    // cancel. An attempt that can't have arrived must not begin for nobody: it waits in a queue, or at a slow
-    // server.
+    // The router cancels attempts whose stream has not started, but never a started stream, so that is
+    // aborted here. So is an attempt that cannot have arrived yet, because it is queued or its server reads
+    // slowly: it must not begin for a client that has disconnected.
     if (request->stream_started() || !may_have_arrived(*parts_.protocol, attempt))
-        return attempts_.abort(attempt.id, ExchangeEnd::cancelled, "client gone", now_, output_);
-    // Where it may not be cancelled it goes on to its end; what is held does not wait for that.
+        return attempts_.abort(attempt.id, ExchangeEnd::cancelled, "client disconnected", now_, output_);
+    // An attempt that the router does not cancel runs to its end. The timer also covers the KV state held for
+    // the request, whose release does not wait for that end.
     attempts_.set_timer(*request, attempt);
 }
 
-// Guards against connections that are closed without an answer at the end of this gateway.
+// Responds to all open requests, so that no connection is closed without a response when the gateway exits.
 void Edge::on(const DrainExpired&) {
     for (const RequestId id : parts_.requests.unfinished()) {
         ActiveRequest& request = *parts_.requests.find(id);
         output_.notify(ClientDisconnected{id});
         completion_.fail(request, kServiceUnavailable, TerminationReason::drain_expired,
-                         "this gateway has ended", now_, output_);
+                         "the gateway is shutting down", now_, output_);
         if (request.attempt)
             attempts_.abort(*request.attempt, ExchangeEnd::cancelled, "drain", now_, output_);
-        else completion_.remove_if_over(request, now_, output_);
+        else completion_.remove_if_complete(request, now_, output_);
     }
 }
 
@@ -184,12 +186,12 @@
         return;
     }
     output_.emit(AbortCall{call->id});
-    end_call(call->id, ExchangeEnd::malformed_response, "answer too large");
+    end_call(call->id, ExchangeEnd::malformed_response, "response body too large");
 }
 
 void Edge::on(const CallFailed& input) {
     const UpstreamCall* const call = parts_.calls.find(input.call);
-    if (call != nullptr && call->half_closed) end_call(input.call, ExchangeEnd::cancelled, "called off");
+    if (call != nullptr && call->half_closed) end_call(input.call, ExchangeEnd::cancelled, "cancelled");
     else end_call(input.call, input.ending, input.detail);
 }
 
@@ -236,15 +238,13 @@
     else if (ending != ExchangeEnd::unverified) parts_.endpoints.verification_inconclusive(call.server, now_);
 }
 
-// ---- attempts ----
-
 // ---- endpoints ----
 
 void Edge::on(const membership::EndpointList& input) {
     output_.record(record_of(input));
     const auto unavailable = parts_.endpoints.apply(input, now_, output_);
-    parts_.cache_index.follow(parts_.endpoints.all(), now_, output_);
-    attempts_.withhold(unavailable, now_, output_);
+    parts_.cache_index.update_subscriptions(parts_.endpoints.all(), now_, output_);
+    attempts_.withdraw_queued(unavailable, now_, output_);
     // An endpoint with a call in flight stays until that has ended; KV states have a copy of theirs.
     for (const auto& server : parts_.endpoints.forget_removed(parts_.calls.servers_in_use())) {
         parts_.kv_states.forget_server(server);
@@ -262,7 +262,7 @@
 // ---- actions of the routing policy ----
 
 void Edge::run_router() {
-    for (int round = 0; output_.has_events() && round < kRouterRounds; ++round) {
+    for (int round = 0; output_.has_events() && round < kMaxRouterRounds; ++round) {
         const auto events = output_.take_events();
         for (const auto& action : router_.step(now_, events))
             std::visit([this](const auto& typed) { apply(typed); }, action);
@@ -272,7 +272,8 @@
 void Edge::apply(const Send& action) {
     ActiveRequest* const request = parts_.requests.find(action.id);
     if (request == nullptr) return;
-    // Guards against a release that is given up for the sake of the next attempt, and never made.
+    // A release call that is still queued must not be dropped in favour of the next attempt: the KV state
+    // would never be released. The attempt is deferred instead.
     if (!request->finished() && parts_.kv_states.defers_attempts(request->id)) {
         parts_.kv_states.defer(request->id, action);
         return parts_.requests.set_timer(*request, request->deadline);
@@ -294,7 +295,7 @@
                                 {}});
 }
 
-// A release call has been written, or given up: the attempt that waited for it goes, if it still may.
+// Called when a release call has been written or abandoned.
 void Edge::resume_deferred(RequestId id) {
     if (const auto action = parts_.kv_states.take_ready_attempt(id)) apply(*action);
 }
@@ -304,38 +305,39 @@
     if (request == nullptr || request->finished()) return;
     if (!parts_.guard.may_reject(*request)) {
         output_.record(GuardRecord{request->parsed.name, GuardReason::refusal_of_what_may_have_run});
-        completion_.fail(*request, kBadGateway, TerminationReason::attempts_failed, "the request failed",
-                         now_, output_);
-        return completion_.remove_if_over(*request, now_, output_);
+        completion_.fail(*request, kBadGateway, TerminationReason::attempts_failed,
+                         "the request failed and may have run", now_, output_);
+        return completion_.remove_if_complete(*request, now_, output_);
     }
-    auto answer = request->parsed.protocol_session->rejection(action.retry_after);
-    const int status = answer.status;
-    send_response(request->client, std::move(answer), output_);
+    auto response = request->parsed.protocol_session->rejection(action.retry_after);
+    const int status = response.status;
+    send_response(request->client, std::move(response), output_);
     completion_.finish(
         *request, Termination::refused, status,
         request->attempts == 0 ? TerminationReason::not_attempted : TerminationReason::attempts_failed, now_,
         output_);
-    completion_.remove_if_over(*request, now_, output_);
+    completion_.remove_if_complete(*request, now_, output_);
 }
 
 void Edge::apply(const Fail& action) {
     ActiveRequest* const request = parts_.requests.find(action.id);
     if (request == nullptr || request->finished()) return;
     if (now_ >= request->deadline) {
-        completion_.fail(*request, kGatewayTimeout, TerminationReason::deadline, "no answer in time", now_,
-                         output_);
+        completion_.fail(*request, kGatewayTimeout, TerminationReason::deadline,
+                         "no response before the deadline", now_, output_);
     } else {
         const std::string& outcome = request->last_outcome;
-        completion_.fail(*request, kBadGateway, TerminationReason::attempts_failed,
-                         "the servers failed this request" + (outcome.empty() ? "" : " (" + outcome + ")"),
-                         now_, output_);
+        completion_.fail(
+            *request, kBadGateway, TerminationReason::attempts_failed,
+            "no server completed the request" + (outcome.empty() ? "" : " (last outcome: " + outcome + ")"),
+            now_, output_);
     }
-    completion_.remove_if_over(*request, now_, output_);
+    completion_.remove_if_complete(*request, now_, output_);
 }
 
-// Guards against a prefill that ends well in the moment in which it is cancelled: closed at once, its answer
-// is lost on the way, and the prompt is processed again, or its request rejected, after a prefill that was
-// done.
+// A prefill may complete at the moment of its cancellation. If the connection were closed at once, the
+// response would be lost on its way, and the prompt would be processed again, or its request rejected,
+// although the prefill was done. The connection is therefore half-closed where the protocol allows it.
 void Edge::apply(const CancelAttempt& action) {
     ActiveRequest* const request = parts_.requests.find(action.id);
     if (request == nullptr || request->stream_started()) return;
@@ -343,9 +345,9 @@
     if (!request->attempt) return;
     UpstreamCall& call = *parts_.calls.find(*request->attempt);
     if (call.attempt != action.attempt) return;
-    const bool answer_counts = call.prefill && call.written() && !request->finished();
-    if (!answer_counts || !parts_.protocol->half_close_cancels())
-        return attempts_.abort(call.id, ExchangeEnd::cancelled, "called off", now_, output_);
+    const bool await_response = call.prefill && call.written() && !request->finished();
+    if (!await_response || !parts_.protocol->half_close_cancels())
+        return attempts_.abort(call.id, ExchangeEnd::cancelled, "cancelled", now_, output_);
     if (std::exchange(call.half_closed, true)) return;
     output_.emit(HalfCloseCall{call.id});
     parts_.calls.set_timer(call, now_ + parts_.settings.limits.cancel_wait);
@@ -356,13 +358,14 @@
     if (request == nullptr) return;
     if (!request->attempt)
         return parts_.kv_states.release(request->id, ReleaseReason::decided, now_, output_);
-    // With an attempt in flight the state is that attempt's, unless a release can't take it away.
+    // With an attempt in flight, the KV state belongs to that attempt. Only a protocol whose releases cover
+    // the whole request can release it without disturbing the attempt.
     if (!parts_.kv_states.holds_any(request->id) || !parts_.kv_states.release_covers_request()) return;
-    parts_.kv_states.release_beside_attempt(request->id, ReleaseReason::decided, now_, output_);
+    parts_.kv_states.release_during_attempt(request->id, ReleaseReason::decided, now_, output_);
     attempts_.set_timer(*request, *parts_.calls.find(*request->attempt));
 }
 
-// The client comes again for the rest of its stream, which other servers prefill and decode.
+// Breaks the client's stream. The client requests the rest of it, which other servers prefill and decode.
 void Edge::apply(const MigrateStream& action) {
     ActiveRequest* const request = parts_.requests.find(action.id);
     if (request == nullptr || request->phase != RequestPhase::streaming) return;
@@ -407,8 +410,8 @@
 
 void Edge::expire_call(CallId id) {
     output_.emit(AbortCall{id});
-    // Only a cancelled attempt has such a timer.
-    if (parts_.calls.find(id)->kind == CallKind::attempt) end_call(id, ExchangeEnd::cancelled, "called off");
+    // Attempts have a call timer only after their cancellation (limits.cancel_wait).
+    if (parts_.calls.find(id)->kind == CallKind::attempt) end_call(id, ExchangeEnd::cancelled, "cancelled");
     else end_call(id, ExchangeEnd::timed_out, "");
 }
 
@@ -418,19 +421,20 @@
     else check_deadline(request);
 }
 
-// The timer is not moved at each chunk: the limit is looked at when the idle time may be over.
+// The timer is not reset at each chunk: the limits are checked when the idle timeout may have expired.
 void Edge::check_stream(ActiveRequest& request) {
     const UpstreamCall& attempt = *parts_.calls.find(*request.attempt);
     const StreamLimit limit = stream_limit(request, parts_.settings.limits, attempt.paused, now_);
     if (!limit.reached(now_)) return parts_.requests.set_timer(request, limit.next_check());
-    attempts_.abort(attempt.id, ExchangeEnd::timed_out, now_ >= limit.end ? "time is over" : "silent stream",
-                    now_, output_);
+    attempts_.abort(attempt.id, ExchangeEnd::timed_out,
+                    now_ >= limit.end ? "stream duration limit reached" : "stream idle timeout", now_,
+                    output_);
 }
 
 void Edge::check_attempt(ActiveRequest& request) {
     const UpstreamCall& attempt = *parts_.calls.find(*request.attempt);
     if (now_ < attempt_deadline(request, attempt)) return check_unanswered_attempt(request, attempt);
-    const bool timeout = now_ < request.deadline;  // the router's own for this attempt
+    const bool timeout = now_ < request.deadline;  // the timeout that the router set for this attempt
     if (timeout) {
         parts_.requests.set_timer(request, request.deadline);
     } else {
@@ -440,20 +444,20 @@
     attempts_.abort(attempt.id, ExchangeEnd::timed_out, timeout ? "time-out" : "deadline", now_, output_);
 }
 
-// The time of what is held may be over while an attempt is in flight.
+// The release of a held KV state may become due while an attempt is in flight.
 void Edge::check_unanswered_attempt(ActiveRequest& request, const UpstreamCall& attempt) {
     const auto release = parts_.kv_states.release_due(request.id);
     if (attempt.status != 0 || !release || now_ < *release) return attempts_.set_timer(request, attempt);
     parts_.requests.set_timer(request, attempt_deadline(request, attempt));
     if (parts_.kv_states.holds_state(request.id) && !may_have_arrived(*parts_.protocol, attempt))
-        return attempts_.abort(attempt.id, ExchangeEnd::cancelled, "no connection in the state's time", now_,
-                               output_);
+        return attempts_.abort(attempt.id, ExchangeEnd::cancelled,
+                               "no connection before the KV state's release", now_, output_);
     if (!parts_.kv_states.release_covers_request()) return;
-    parts_.kv_states.release_beside_attempt(request.id, ReleaseReason::decode_unanswered, now_, output_);
+    parts_.kv_states.release_during_attempt(request.id, ReleaseReason::decode_unanswered, now_, output_);
     attempts_.set_timer(request, attempt);
 }
 
-// Nothing is in flight. At the deadline the router is notified and gets one chance to answer.
+// No attempt is in flight. At the deadline the router is notified and gets one chance to respond.
 void Edge::check_deadline(ActiveRequest& request) {
     if (now_ < request.deadline) return parts_.requests.set_timer(request, request.deadline);
     if (parts_.kv_states.has_deferred(request.id)) {
@@ -467,11 +471,9 @@
     }
     output_.record(GuardRecord{request.parsed.name, GuardReason::no_final_answer_at_deadline});
     output_.notify(ClientDisconnected{request.id});
-    completion_.fail(request, kGatewayTimeout, TerminationReason::deadline, "no answer in time", now_,
-                     output_);
-    completion_.remove_if_over(request, now_, output_);
+    completion_.fail(request, kGatewayTimeout, TerminationReason::deadline, "no response before the deadline",
+                     now_, output_);
+    completion_.remove_if_complete(request, now_, output_);
 }
 
-// ---- ends of requests ----
-
 }  // namespace chalksail::core
--- a/src/core/edge.hpp
+++ b/src/core/edge.hpp
@@ -1,27 +1,28 @@
-// The edge without I/O: it owns the life of each request, hosts one routing policy, and turns inputs into
-// effects.
+// The core of the edge, without I/O: manages the lifecycle of each request, hosts one routing policy, and
+// turns inputs into effects.
 //
-// step(now, inputs) takes what the network layer has seen (inputs.hpp) and returns what it is to do
-// (effects.hpp), in order. There is no socket, clock, thread, log or global in here: the same object runs
-// behind real sockets or in virtual time, and the same inputs give the same effects.
+// step(now, inputs) receives the network layer's reports (inputs.hpp) and returns the operations that it has
+// to carry out, in order (effects.hpp). The core uses no sockets, clock, threads, logs or globals: the same
+// object runs behind real sockets or in virtual time, and the same inputs give the same effects.
 //
-// Edge is a coordinator. Each part of the state has an owner, a class of its own, which it calls with values:
+// Edge is a coordinator. Each part of the state is owned by a class of its own:
 //   ActiveRequests     requests, their phases, deadlines and timers
-//   UpstreamCalls      calls to servers in flight; AttemptResult says what an attempt's end proves
-//   ReservedKvStates   what servers hold for requests, and its releases
+//   UpstreamCalls      calls to servers in flight; AttemptResult classifies how an attempt ended
+//   ReservedKvStates   KV states and reservations that servers hold for requests, and their releases
 //   EndpointRegistry   the endpoint list, verification, activity
 //   CacheIndex         reported prefix caches
 //   RouterHost         the routing policy and its timers
-// Three classes carry out what takes several of them: RequestIntake accepts a request,
-// AttemptRunner runs its attempts, RequestCompletion gives its final answer. AttemptGuard stands between the
-// routing policy and the wire.
+// Three classes implement the operations that involve several of these: RequestIntake accepts a request,
+// AttemptRunner runs its attempts, and RequestCompletion sends its final response. AttemptGuard checks each
+// attempt that the routing policy requests before it is sent.
 //
-// The policy decides where and when. What is decided here is what the rules leave to whoever owns the
-// sockets: the end at the deadline, what proves that an attempt did not run, that an attempt still waiting
-// for a connection is withheld once its server drains, and that nothing is sent after a final answer.
+// The policy decides where and when a request is sent. The core enforces the rest: it ends requests at their
+// deadlines, determines whether an attempt is proved not to have run, withdraws an attempt that still waits
+// for a connection when its server starts to drain, and sends nothing after a final response.
 //
-// Threads: one Edge, one thread. Errors: bad input of clients and engines becomes answers and outcomes, never
-// an exception; the constructors throw std::invalid_argument where the policy refuses its settings.
+// Not thread-safe: an Edge is used by one thread. Malformed input of clients and servers results in error
+// responses and outcomes, never in an exception; the constructors throw std::invalid_argument if the policy
+// rejects its settings.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -43,11 +44,11 @@
 
 namespace chalksail::core {
 
-// Figures of one moment, for the metrics page and for shutdown.
+// Current counts, for the metrics page and for shutdown.
 struct Gauges {
-    std::size_t open_requests = 0;  // without a final answer
+    std::size_t open_requests = 0;  // requests without a final response
     std::size_t started_streams = 0;
-    std::size_t calls = 0;  // to servers, in flight
+    std::size_t calls = 0;  // calls to servers in flight
     std::size_t kv_states_held = 0;
     std::size_t tracked_by_router = 0;
     std::size_t unverified_servers = 0;
@@ -56,7 +57,7 @@
 
 class Edge {
 public:
-    // With the router of src/policy. `vocabulary`: where the settings name a tokenizer.
+    // Uses the router of src/policy. `vocabulary` is required if the settings name a tokenizer.
     explicit Edge(const config::EdgeSettings& settings,
                   std::shared_ptr<const engine::Vocabulary> vocabulary = nullptr);
     Edge(const config::EdgeSettings& settings, std::unique_ptr<RoutingPolicy> routing_policy,
@@ -65,17 +66,18 @@
     Edge(const Edge&) = delete;
     Edge& operator=(const Edge&) = delete;
 
-    // Takes a batch of inputs and returns the effects, to be carried out in order. `now` must not go
-    // backwards; one that does counts as the latest seen.
+    // Processes a batch of inputs and returns the effects, to be carried out in order. If `now` is earlier
+    // than in a previous step, the latest time seen is used.
     [[nodiscard]] std::vector<Output> step(Time now, std::vector<Input> inputs);
-    // No later than this step() must be called again, with or without inputs; nothing: no timer is set.
+    // Returns the time at which step() must be called at the latest, with or without inputs; std::nullopt if
+    // no timer is set.
     [[nodiscard]] std::optional<Time> next_wake() const;
-    // To be called when a call's connection is ready, before its first byte is handed over: may the call
-    // still begin? Updates the headers that carry the time left. A call withheld by this is to be reported as
-    // CallFailed with ExchangeEnd::expired.
+    // Returns true if a call may still begin; to be called when its connection is ready, before the first
+    // byte is written. Updates the header that carries the remaining time. If it returns false, the call must
+    // be reported as CallFailed with ExchangeEnd::expired.
     [[nodiscard]] bool may_begin(Time now, CallId call, http::Headers& headers) const;
     [[nodiscard]] Gauges gauges() const;
-    // The listed endpoints, for operators.
+    // Returns the listed endpoints, for the admin interface.
     [[nodiscard]] std::vector<membership::EndpointConfig> endpoints() const;
     [[nodiscard]] std::size_t endpoint_count() const { return parts_.endpoints.all().size(); }
 
@@ -95,7 +97,7 @@
     void on(const CacheReplayEnded& input) { parts_.cache_index.apply(input, output_); }
     void on(CacheSnapshots& input) { parts_.cache_index.apply(input, now_); }
     void on(const TrustStoreChanged&) { parts_.endpoints.trust_changed(now_); }
-    void on(const ShutdownAnnounced& input) { intake_.announce_shutdown(input.answer_deadline); }
+    void on(const ShutdownAnnounced& input) { intake_.announce_shutdown(input.response_deadline); }
     void on(const DrainStarted&) { intake_.start_drain(); }
     void on(const DrainExpired&);
 
@@ -110,9 +112,9 @@
     void apply(const Reserve& action);
     void apply(const HealthCheck& action);
     void apply(const SetTimer& action) { router_.set_timer(action.at, action.id); }
-    void apply(const WatchEndpoints&) {}  // the list is pushed
+    void apply(const WatchEndpoints&) {}  // no effect: endpoint updates are pushed to the core
 
-    // The attempt deferred for a release goes, if it still may.
+    // Begins the request's deferred attempt if no release call defers it any longer and the guard allows it.
     void resume_deferred(RequestId id);
 
     // ---- calls ----
@@ -130,7 +132,7 @@
     void check_attempt(ActiveRequest& request);
     void check_unanswered_attempt(ActiveRequest& request, const UpstreamCall& attempt);
     void check_deadline(ActiveRequest& request);
-    // What the router gets to react to a deadline before the core answers by itself.
+    // The time that the router has to react to a deadline before the core responds by itself.
     [[nodiscard]] Duration deadline_grace() const { return 2 * parts_.settings.router.tick; }
 
     CoreParts parts_;
--- a/src/core/effects.hpp
+++ b/src/core/effects.hpp
@@ -34,7 +34,7 @@
 struct EndStream {
     ClientId client;
 };
-// Closes the client's connection without the end of the stream.
+// Closes the client's connection before the end of the stream.
 struct AbortStream {
     ClientId client;
 };
@@ -60,9 +60,9 @@
     std::string target;
     http::Headers headers;
     std::string body;
-    double priority = 0;  // calls that wait for a handshake are served by descending priority
+    double priority = 0;  // calls waiting for a handshake are served in descending order of priority
 };
-// Closes the call's connection, or removes the call from its queue. Nothing more is reported of the call.
+// Closes the call's connection, or removes the call from its queue. Nothing more is reported for the call.
 struct AbortCall {
     CallId call;
 };
@@ -70,7 +70,7 @@
 struct HalfCloseCall {
     CallId call;
 };
-// The core needs no more of the response. The connection may be reused once the response has ended.
+// Ignores the rest of the response. The connection may be reused once the response has ended.
 struct CompleteCall {
     CallId call;
 };
@@ -107,8 +107,8 @@
 
 // ---- endpoints and records ----
 
-// Frees what the network layer keeps for a server that was removed from the list; the core keeps no state of
-// it any more.
+// Frees the network layer's state for a server that was removed from the endpoint list; the core has already
+// dropped its own.
 struct ForgetEndpoint {
     std::string server;
 };
--- a/src/core/endpoint_registry.cpp
+++ b/src/core/endpoint_registry.cpp
@@ -27,7 +27,7 @@
         std::set<ServerId> listed;
         for (const auto& config : list.endpoints) listed.insert(config.endpoint.id);
         for (auto& [id, config] : endpoints_)
-            if (!listed.contains(id)) drop(config, output);
+            if (!listed.contains(id)) mark_removed(config, output);
     }
     EndpointUpdate event;
     event.kind = list.kind;
@@ -45,7 +45,7 @@
     return unavailable;
 }
 
-void EndpointRegistry::drop(membership::EndpointConfig& config, StepOutput& output) {
+void EndpointRegistry::mark_removed(membership::EndpointConfig& config, StepOutput& output) {
     Endpoint& endpoint = config.endpoint;
     if (std::exchange(endpoint.state, EndpointState::removed) == EndpointState::removed) return;
     output.record(ServerRecord{endpoint.id.value, ServerAction::removed, "not in the snapshot"});
@@ -53,14 +53,14 @@
 
 bool EndpointRegistry::update(const membership::EndpointConfig& config, Time now, StepOutput& output) {
     const Endpoint& endpoint = config.endpoint;
-    const auto before = endpoints_.find(endpoint.id);
-    const bool known = before != endpoints_.end();
-    const bool restarted = known && before->second.endpoint.started_at != endpoint.started_at;
-    if (!known || restarted || before->second.endpoint.state != endpoint.state)
+    const auto previous = endpoints_.find(endpoint.id);
+    const bool known = previous != endpoints_.end();
+    const bool restarted = known && previous->second.endpoint.started_at != endpoint.started_at;
+    if (!known || restarted || previous->second.endpoint.state != endpoint.state)
         output.record(ServerRecord{endpoint.id.value, action_of(endpoint.state, restarted),
                                    format_address(config.address)});
-    const bool moved = !known || restarted || before->second.address != config.address ||
-                       before->second.endpoint.kind != endpoint.kind;
+    const bool moved = !known || restarted || previous->second.address != config.address ||
+                       previous->second.endpoint.kind != endpoint.kind;
     if (moved) verification_.changed(endpoint.id.value, now);
     endpoints_[endpoint.id] = config;
     return restarted;
@@ -114,7 +114,7 @@
     std::vector<membership::EndpointConfig> due;
     for (const auto& server : verification_.due(now)) {
         const auto* const config = find(server);
-        // Guards against verifications, without end, of a server that is off the list.
+        // A server that is no longer listed is not verified again.
         if (config == nullptr || config->endpoint.state == EndpointState::removed)
             verification_.forget(server);
         else due.push_back(*config);
--- a/src/core/endpoint_registry.hpp
+++ b/src/core/endpoint_registry.hpp
@@ -1,8 +1,8 @@
-// The endpoints that the core knows: the list as membership delivers it, which of them have proved their
-// names, and which were active last.
+// The endpoints known to the core: the list that membership delivers, the state of their TLS verification,
+// and the time of their last activity.
 //
-// An endpoint that has not proved its name (TLS verification) is reported to the router as draining until it
-// does. Free of I/O and clock; not thread-safe; no errors.
+// An endpoint that has failed the verification of its name is reported to the router as draining until it
+// succeeds. No I/O, no clock; not thread-safe; reports no errors.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -28,34 +28,36 @@
 
     // ---- the list ----
 
-    // Takes a change of the list, records what changed and notifies the router. Returns the servers for which
-    // nothing may leave a queue any more: those that are not up, or have restarted.
+    // Applies an update of the list, records the changes and notifies the router. Returns the servers whose
+    // queued attempts must be withdrawn: those that are not up, and those that have restarted.
     [[nodiscard]] std::set<std::string> apply(const membership::EndpointList& list, Time now,
                                               StepOutput& output);
-    // Drops the removed endpoints, except those in `in_use`; returns the names of the dropped ones.
+    // Deletes the removed endpoints, except those in `in_use`; returns the names of the deleted ones.
     [[nodiscard]] std::vector<std::string> forget_removed(const std::set<std::string>& in_use);
 
-    // nullptr: not listed, or forgotten. Valid until the next apply() or forget_removed().
+    // Returns nullptr if the endpoint was never listed or has been deleted. The pointer is valid until the
+    // next apply() or forget_removed().
     [[nodiscard]] const membership::EndpointConfig* find(const std::string& server) const;
     [[nodiscard]] const Endpoints& all() const { return endpoints_; }
-    // Listed as up; says nothing of verification.
+    // Returns true if the endpoint is listed as up, whether or not it is verified.
     [[nodiscard]] bool is_up(const std::string& server) const;
 
     // ---- verification ----
 
-    // The server did not prove its name. Returns whether attempts that wait for a connection to it are to be
-    // withheld: it is listed, and was not known to be unverified.
+    // Records that the verification of the server's name failed. Returns true if attempts that wait for a
+    // connection to it must be withdrawn: it is listed, and was not unverified before.
     [[nodiscard]] bool mark_unverified(const std::string& server, const std::string& detail, Time now,
                                        StepOutput& output);
-    // The server has proved its name.
+    // Records that the server's name was verified.
     void mark_verified(const std::string& server, StepOutput& output);
-    // A verification ended without a result: another one follows after a pause.
+    // Records that a verification ended without a result; it is repeated after a pause.
     void verification_inconclusive(const std::string& server, Time now) {
         verification_.inconclusive(server, now);
     }
-    // The certificates that servers are verified against have changed: all are verified again at once.
+    // Schedules the verification of all unverified servers at once, as the trusted certificates have changed.
     void trust_changed(Time now) { verification_.trust_changed(now); }
-    // The endpoints whose verification is due; each counts as under way until its result is reported.
+    // Returns the endpoints whose verification is due; each counts as in progress until its result is
+    // reported.
     [[nodiscard]] std::vector<membership::EndpointConfig> due_verifications(Time now);
     [[nodiscard]] std::optional<Time> next_verification() const { return verification_.next(); }
     [[nodiscard]] bool unverified(const std::string& server) const {
@@ -65,17 +67,17 @@
 
     // ---- activity ----
 
-    // Bytes of a response of this server were received.
+    // Records that bytes of a response of this server were received.
     void record_activity(const std::string& server, Time now) { activity_.record(server, now); }
-    // Of the endpoints that are up and not excluded, the one that was active last; one of which nothing was
-    // received if there is no other; nullptr: none.
+    // Returns the most recently active endpoint that is up and not excluded. If none has been active, returns
+    // the first by name; nullptr if none is eligible.
     [[nodiscard]] const membership::EndpointConfig* last_active(const std::set<std::string>& excluded) const;
 
 private:
-    // A snapshot does not list this endpoint.
-    static void drop(membership::EndpointConfig& config, StepOutput& output);
-    // Stores one entry of the list; returns whether it replaces a process that started at another time.
-    bool update(const membership::EndpointConfig& endpoint, Time now, StepOutput& output);
+    // Marks an endpoint as removed because a snapshot does not list it.
+    static void mark_removed(membership::EndpointConfig& config, StepOutput& output);
+    // Stores one entry of the list; returns true if the endpoint has restarted since its previous entry.
+    bool update(const membership::EndpointConfig& config, Time now, StepOutput& output);
 
     Endpoints endpoints_;
     membership::Verification verification_;
--- a/src/core/inputs.hpp
+++ b/src/core/inputs.hpp
@@ -25,7 +25,7 @@
     ClientId client;
     std::string detail = {};  // for the log: which side closed it, and the error
 };
-// The bytes queued for the client have exceeded the limit, or have fallen below it again.
+// The number of bytes queued for the client has exceeded the limit, or has dropped below it again.
 struct ClientBacklog {
     ClientId client;
     bool full = false;
@@ -41,13 +41,13 @@
 struct CallWritten {
     CallId call;
 };
-// The head of the server's response.
+// The status and headers of the server's response were received.
 struct CallHead {
     CallId call;
     int status = 0;
     http::Headers headers;
 };
-// Bytes of the response's body.
+// A part of the response's body was received.
 struct CallBody {
     CallId call;
     std::string bytes;
@@ -87,11 +87,11 @@
 struct TrustStoreChanged {};
 // This gateway shuts down soon: requests accepted from now on must be answered by the deadline.
 struct ShutdownAnnounced {
-    Time answer_deadline;
+    Time response_deadline;
 };
 // No new request is accepted from now on.
 struct DrainStarted {};
-// The time for draining is over: every open request gets its final response now.
+// The drain timeout has expired: every open request gets its final response now.
 struct DrainExpired {};
 
 using Input =
--- a/src/core/last_activity.hpp
+++ b/src/core/last_activity.hpp
@@ -1,5 +1,5 @@
-// The servers by the time at which a response of theirs was last received, the latest first. Free of I/O and
-// clock; not thread-safe.
+// Orders servers by the time at which bytes of their responses were last received, the latest first. No I/O,
+// no clock; not thread-safe.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -18,7 +18,7 @@
             order_.emplace(now, server);
             return;
         }
-        // Frequent, as each chunk of a stream counts: the entry is moved, not allocated again.
+        // Called for each chunk of a stream, so the set's node is reused instead of allocated again.
         auto entry = order_.extract({it->second, server});
         entry.value().first = now;
         order_.insert(std::move(entry));
@@ -30,7 +30,7 @@
         order_.erase({it->second, server});
         times_.erase(it);
     }
-    // The one that was active last of those that `eligible` accepts; nullptr: none.
+    // Returns the most recently active server that `eligible` accepts; nullptr if there is none.
     template <class Eligible>
     [[nodiscard]] const std::string* most_recent(Eligible eligible) const {
         for (const auto& [at, server] : order_)
--- a/src/core/platform_protocol.cpp
+++ b/src/core/platform_protocol.cpp
@@ -10,7 +10,7 @@
 namespace chalksail::core {
 namespace {
 
-ClientResponse error_answer(int status, std::string_view message) {
+ClientResponse error_response(int status, std::string_view message) {
     ClientResponse out;
     out.status = status;
     out.headers.add("Content-Type", "application/json");
@@ -18,18 +18,20 @@
     return out;
 }
 
-class PlatformEvents : public DecodeResponseParser {
+class PlatformStreamParser : public DecodeResponseParser {
 public:
-    explicit PlatformEvents(std::shared_ptr<platform::EventReader> reader) : reader_(std::move(reader)) {}
+    explicit PlatformStreamParser(std::shared_ptr<platform::EventReader> reader)
+        : reader_(std::move(reader)) {}
     Progress feed(std::string_view bytes) override {
         auto events = reader_->feed(bytes);
         Progress out;
         out.to_client = std::move(events.bytes);
         out.events = events.count;
-        // A stream ends with the response's last chunk: it may still turn out malformed after its [DONE].
+        // The stream is complete only at the end of the HTTP response: it may still be malformed after
+        // [DONE].
         if (reader_->malformed()) {
             out.state = State::malformed;
-            out.detail = "no event, or one too large";
+            out.detail = "malformed or oversized event";
         }
         return out;
     }
@@ -41,22 +43,22 @@
 
 }  // namespace
 
-class PlatformProtocol::Request : public ProtocolSession {
+class PlatformProtocol::Session : public ProtocolSession {
 public:
-    Request(PlatformProtocol& owner, std::string id, std::string idempotency_key, http::Request request)
+    Session(PlatformProtocol& owner, std::string id, std::string idempotency_key, http::Request request)
         : owner_(owner),
           id_(std::move(id)),
           idempotency_key_(std::move(idempotency_key)),
           method_(std::move(request.method)),
           target_(std::move(request.target)),
           body_(std::move(request.body)) {
-        owner_.open_.insert(id_);
+        owner_.open_ids_.insert(id_);
     }
-    ~Request() override { owner_.open_.erase(id_); }
-    Request(const Request&) = delete;
-    Request& operator=(const Request&) = delete;
+    ~Session() override { owner_.open_ids_.erase(id_); }
+    Session(const Session&) = delete;
+    Session& operator=(const Session&) = delete;
 
-    // Prefill and decode servers get the same: the request's id is enough to find its KV state.
+    // Prefill and decode servers get the same request: its id identifies the KV state.
     [[nodiscard]] ServerRequest prefill_request(std::int64_t, Duration time_remaining) const override {
         return server_request(time_remaining);
     }
@@ -67,7 +69,7 @@
     [[nodiscard]] std::unique_ptr<DecodeResponseParser> decode_parser() override {
         auto reader = std::make_shared<platform::EventReader>(owner_.settings_.limits.event_bytes);
         reader_ = reader;
-        return std::make_unique<PlatformEvents>(std::move(reader));
+        return std::make_unique<PlatformStreamParser>(std::move(reader));
     }
     void update_time_remaining(http::Headers& headers, Duration time_remaining) const override {
         headers.set(platform::kTimeRemainingHeader, platform::format_time_remaining(time_remaining));
@@ -91,17 +93,18 @@
         return std::nullopt;
     }
     [[nodiscard]] ClientResponse rejection(Duration retry_after) const override {
-        auto out = error_answer(503, "no room to serve this in time; nothing was done");
+        auto out =
+            error_response(503, "no capacity to complete the request before its deadline; it was not run");
         if (retry_after > Duration::zero())
             out.headers.add("Retry-After", platform::format_retry_after(retry_after));
         return out;
     }
     [[nodiscard]] ClientResponse failure(int status, const std::string& message, bool) const override {
-        return error_answer(status, message);
+        return error_response(status, message);
     }
     [[nodiscard]] ClientResponse server_rejection(int status, const ResponseHead&,
                                                   std::string) const override {
-        return error_answer(status, "the model server turned it down");
+        return error_response(status, "the model server rejected the request");
     }
 
 private:
@@ -111,7 +114,7 @@
         out.headers.add(std::string(platform::kIdHeader), id_);
         out.headers.add(std::string(platform::kTimeRemainingHeader),
                         platform::format_time_remaining(time_remaining));
-        // Servers recognize repeats by this key, and drop them.
+        // Servers deduplicate repeated attempts by this key.
         if (!idempotency_key_.empty())
             out.headers.add(std::string(platform::kIdempotencyHeader), idempotency_key_);
         return out;
@@ -119,52 +122,54 @@
 
     PlatformProtocol& owner_;
     std::string id_;
-    std::string idempotency_key_;  // as its client gave it; empty: none
+    std::string idempotency_key_;  // of the client's request; empty: none
     std::string method_;
     std::string target_;
     std::string body_;
-    std::shared_ptr<const platform::EventReader> reader_;  // of the last answer: its figures
+    std::shared_ptr<const platform::EventReader> reader_;  // of the last decode response
 };
 
 // ================= clients =================
 
-std::optional<ClientResponse> PlatformProtocol::answer(const http::Request& request, bool draining) const {
+std::optional<ClientResponse> PlatformProtocol::local_response(const http::Request& request,
+                                                               bool draining) const {
     const auto path = request.path();
     if (path == platform::kReadyPath)
-        return draining ? error_answer(503, "going away") : ClientResponse{200, {}, "ready\n"};
-    if (path != platform::kChatPath) return error_answer(404, "no such path");
-    if (request.method != "POST") return error_answer(405, "use POST");
+        return draining ? error_response(503, "draining") : ClientResponse{200, {}, "ready\n"};
+    if (path != platform::kChatPath) return error_response(404, "no such path");
+    if (request.method != "POST") return error_response(405, "use POST");
     return std::nullopt;
 }
 
 Rejection PlatformProtocol::reject(const http::Request& request, std::uint64_t,
                                    RejectionReason reason) const {
     const bool draining = reason == RejectionReason::draining;
-    Rejection out{error_answer(503, draining ? "this gateway is going away" : "too many open requests"),
+    Rejection out{error_response(503, draining ? "the gateway is shutting down" : "too many open requests"),
                   std::string(request.headers.get(platform::kIdHeader)),
                   {}};
-    if (draining) out.answer.headers.add("Connection", "close");
+    if (draining) out.response.headers.add("Connection", "close");
     else if (settings_.router.max_retry_after > Duration::zero())
-        out.answer.headers.add("Retry-After",
-                               platform::format_retry_after(settings_.router.max_retry_after / 2));
+        out.response.headers.add("Retry-After",
+                                 platform::format_retry_after(settings_.router.max_retry_after / 2));
     return out;
 }
 
 tl::expected<ParsedRequest, Rejection> PlatformProtocol::parse(http::Request& request, std::uint64_t) {
     const auto reject = [&](int status, std::string_view message) {
-        return tl::unexpected(Rejection{error_answer(status, message), {}, {}});
+        return tl::unexpected(Rejection{error_response(status, message), {}, {}});
     };
     auto decoded = platform::read_request(request);
     if (!decoded) return reject(400, decoded.error());
     const auto& classes = settings_.router.classes;
-    const auto cls = std::find_if(classes.begin(), classes.end(),
-                                  [&](const auto& c) { return c.name == decoded->class_name; });
-    if (cls == classes.end()) return reject(400, "X-Service-Class: no such class");
-    // Two requests of one id could not be told apart at the servers.
-    if (open_.contains(decoded->id)) return reject(409, "X-Correlation-Id: of a request that is open");
+    const auto request_class = std::find_if(classes.begin(), classes.end(),
+                                            [&](const auto& c) { return c.name == decoded->class_name; });
+    if (request_class == classes.end()) return reject(400, "X-Service-Class: unknown class");
+    // Servers could not distinguish two open requests with the same id.
+    if (open_ids_.contains(decoded->id))
+        return reject(409, "X-Correlation-Id: a request with this id is still open");
     ParsedRequest out;
     out.name = decoded->id;
-    out.class_index = static_cast<std::size_t>(cls - classes.begin());
+    out.class_index = static_cast<std::size_t>(request_class - classes.begin());
     out.tenant = std::move(decoded->tenant);
     out.session = decoded->session.empty() ? decoded->id : std::move(decoded->session);
     out.prefix = std::move(decoded->prefix);
@@ -174,7 +179,7 @@
     out.max_output = decoded->max_output;
     out.retry = decoded->retry;
     out.resumes_stream = decoded->resumes_stream;
-    out.protocol_session = std::make_unique<Request>(*this, std::move(decoded->id),
+    out.protocol_session = std::make_unique<Session>(*this, std::move(decoded->id),
                                                      std::move(decoded->idempotency_key), std::move(request));
     return out;
 }
@@ -202,7 +207,8 @@
             break;
         case engine::ExchangeEnd::no_resources:
         case engine::ExchangeEnd::expired:
-            // A fault of this machine says nothing of the server: as if the attempt had never been made.
+            // A local failure says nothing about the server, so an attempt without a byte sent counts as
+            // never made.
             if (!observed.sent) return {AttemptOutcome::not_sent, false, false};
             observation.ending = platform::ExchangeEnd::connection_closed;
             break;
--- a/src/core/platform_settings.hpp
+++ b/src/core/platform_settings.hpp
@@ -1,5 +1,5 @@
-// An edge's settings on the users' platform: those of its configuration, and limits derived from what the
-// platform allows one process. Pure function; no state.
+// Builds an edge's settings on the users' platform from its configuration, with limits derived from the
+// resources that the platform allows one process. Pure function; no state.
 #pragma once
 
 #include "config/settings.hpp"
@@ -7,7 +7,7 @@
 
 namespace chalksail::core {
 
-// Throws std::invalid_argument if the router would refuse them.
+// Throws std::invalid_argument if the router would reject the settings.
 [[nodiscard]] config::EdgeSettings platform_settings(const platform::Configuration& configuration);
 
 }  // namespace chalksail::core
--- a/src/core/protocol.hpp
+++ b/src/core/protocol.hpp
@@ -47,7 +47,7 @@
 // The content of a server's response head, other than its status.
 struct ResponseHead {
     engine::NotRun not_run = engine::NotRun::unknown;
-    std::vector<double> load_report;  // as Settings::report_fields say; empty: none
+    std::vector<double> load_report;  // values in the order of Settings::report_fields; empty: none
     std::string content_type;
 };
 
@@ -66,6 +66,7 @@
         std::string detail;       // what is malformed, for the log
     };
     virtual ~DecodeResponseParser() = default;
+    // Parses the next bytes of the response's body.
     [[nodiscard]] virtual Progress feed(std::string_view bytes) = 0;
     // Returns true once the response has been received to its proper end.
     [[nodiscard]] virtual bool complete() const = 0;
@@ -87,7 +88,7 @@
     // Updates the headers of an attempt that had to wait for its connection.
     virtual void update_time_remaining(http::Headers&, Duration) const {}
     [[nodiscard]] virtual std::unique_ptr<DecodeResponseParser> decode_parser() = 0;
-    // Frees what only attempts need. No further attempt may be sent after this.
+    // Frees the data that only attempts need. No further attempt may be sent after this.
     virtual void drop_request() = 0;
 
     // ---- token counts ----
@@ -103,12 +104,14 @@
 
     // ---- to the client ----
 
-    // Returns true if the client gets a stream. Otherwise it gets one response at the end, collected().
+    // Returns true if the client gets a stream. Otherwise it gets one response at the end,
+    // collected_response().
     [[nodiscard]] virtual bool streams() const { return true; }
-    [[nodiscard]] virtual ClientResponse collected() { return {}; }
+    [[nodiscard]] virtual ClientResponse collected_response() { return {}; }
     [[nodiscard]] virtual http::Headers stream_head() const = 0;
     [[nodiscard]] virtual std::string stream_tail() const { return {}; }
-    // Returns the bytes that end a broken stream, or nothing if the client's connection is closed instead.
+    // Returns the bytes that end a broken stream, or std::nullopt if the client's connection is closed
+    // instead.
     [[nodiscard]] virtual std::optional<std::string> stream_error(int status,
                                                                   const std::string& message) const = 0;
     // Returns the response to a request that was not run and may be retried. `retry_after` is zero for no
@@ -141,7 +144,7 @@
 };
 // The response to a request that is not accepted, and the request's ids for the log.
 struct Rejection {
-    ClientResponse answer;
+    ClientResponse response;
     std::string name;
     std::string client_name;
 };
@@ -152,9 +155,9 @@
 
     // ---- clients ----
 
-    // Returns the gateway's own response, or nothing if the request is to be routed to the servers.
-    [[nodiscard]] virtual std::optional<ClientResponse> answer(const http::Request& request,
-                                                               bool draining) const = 0;
+    // Returns the gateway's own response, or std::nullopt if the request is to be routed to the servers.
+    [[nodiscard]] virtual std::optional<ClientResponse> local_response(const http::Request& request,
+                                                                       bool draining) const = 0;
     enum class RejectionReason { draining, limit };
     // Rejects a request that was not started, so that a retry is safe. `number` is the request's number.
     [[nodiscard]] virtual Rejection reject(const http::Request& request, std::uint64_t number,
@@ -165,7 +168,7 @@
     // ---- responses of servers ----
 
     [[nodiscard]] virtual ResponseHead read_head(int status, const http::Headers& headers) const = 0;
-    // Returns nothing if it is not a valid prefill response.
+    // Returns std::nullopt if the response is not a valid prefill response.
     [[nodiscard]] virtual std::optional<PrefillResult> parse_prefill(int status,
                                                                      std::string_view body) const = 0;
     // Returns true if a server treats a half-close of the connection by the gateway as a cancellation of the
@@ -183,16 +186,16 @@
         request,  // everything reserved for the request on all servers, including what an attempt in flight
                   // uses; any server accepts the call and forwards it
     };
-    [[nodiscard]] virtual ReleaseScope release_covers() const = 0;
-    // Returns the call that releases what is reserved for the request of that name, or nothing if servers of
-    // this kind have no such call.
+    [[nodiscard]] virtual ReleaseScope release_scope() const = 0;
+    // Returns the call that releases what is reserved for the request of that name, or std::nullopt if
+    // servers of this kind have no such call.
     [[nodiscard]] virtual std::optional<ServerRequest> release(const std::string& name, std::int64_t attempt,
                                                                const std::string& state,
                                                                const std::string& kind) const = 0;
     // Returns true if this status of a release response means that the server has no such call.
-    [[nodiscard]] virtual bool lacks_release_call(int status) const = 0;
-    // Returns the call that reserves capacity at a decode server for the request of that name, or nothing if
-    // there is no such call.
+    [[nodiscard]] virtual bool release_unsupported(int status) const = 0;
+    // Returns the call that reserves capacity at a decode server for the request of that name, or
+    // std::nullopt if there is no such call.
     [[nodiscard]] virtual std::optional<ServerRequest> reservation_request(const std::string& name) const = 0;
     enum class Reservation { held, not_held, unknown };
     // Returns what the status of a reservation response means.
--- a/src/core/request_completion.cpp
+++ b/src/core/request_completion.cpp
@@ -22,16 +22,13 @@
     parts_.requests.drop_body(request);
 }
 
-// Forgets a request that has its final answer and no attempt in flight. A state that is still held goes at
-// once.
-void RequestCompletion::remove_if_over(ActiveRequest& request, Time now, StepOutput& output) {
+void RequestCompletion::remove_if_complete(ActiveRequest& request, Time now, StepOutput& output) {
     if (!request.finished() || request.attempt) return;
     if (parts_.kv_states.has_deferred(request.id)) drop_deferred(request, output);
     parts_.kv_states.finish(request.id, now, output);
     parts_.requests.remove(request);
 }
 
-// The deferred attempt never began, and that says nothing of its server.
 void RequestCompletion::drop_deferred(ActiveRequest& request, StepOutput& output) {
     const Send action = parts_.kv_states.take_deferred(request.id);
     const AttemptId attempt{request.attempts++};
@@ -39,22 +36,23 @@
         request.id, attempt, action.server, AttemptOutcome::not_sent, {}, request.finished(), false, 0, {}});
 }
 
-void RequestCompletion::answer_after(ActiveRequest& request, const UpstreamCall& call,
-                                     const AttemptResult& result, const std::string& detail, Time now,
-                                     StepOutput& output) {
+void RequestCompletion::respond_after_attempt(ActiveRequest& request, const UpstreamCall& call,
+                                              const AttemptResult& result, const std::string& detail,
+                                              Time now, StepOutput& output) {
     if (result.client_error()) {
         const ProtocolSession& session = *request.parsed.protocol_session;
         send_response(request.client, session.server_rejection(call.status, call.head, call.body), output);
         finish(request, Termination::rejected, call.status, TerminationReason::rejected_by_engine, now,
                output);
     } else if (result.ok()) {
-        send_end_of_answer(request, output);
+        complete_response(request, output);
         finish(request, Termination::served, kOk, TerminationReason::served, now, output);
     } else if (request.stream_started()) {
         const bool timed_out = result.ending == ExchangeEnd::timed_out;
         fail(request, timed_out ? kGatewayTimeout : kBadGateway,
              timed_out ? TerminationReason::stream_timeout : TerminationReason::broken_stream,
-             "the answer broke off: " + (detail.empty() ? request.last_outcome : detail), now, output);
+             "the response was interrupted: " + (detail.empty() ? request.last_outcome : detail), now,
+             output);
     }
 }
 
--- a/src/core/request_completion.hpp
+++ b/src/core/request_completion.hpp
@@ -1,5 +1,5 @@
-// Completes requests: final answers, their records, and the release of all that is held for them.
-// Stateless beside the parts that it coordinates; no errors.
+// Completes requests: sends and records their final responses, and releases the KV states and reservations
+// held for them. Has no state beyond the parts that it coordinates; reports no errors.
 #pragma once
 
 #include <string>
@@ -15,18 +15,21 @@
     // Keeps a reference to `parts`.
     explicit RequestCompletion(CoreParts& parts) : parts_(parts) {}
 
-    // Gives the final answer where the end of this attempt calls for one by itself; else the router decides.
-    void answer_after(ActiveRequest& request, const UpstreamCall& call, const AttemptResult& result,
-                      const std::string& detail, Time now, StepOutput& output);
-    // Tells the client of a failure, and finishes the request.
+    // Sends the final response if the end of this attempt determines it; otherwise the router decides how to
+    // continue.
+    void respond_after_attempt(ActiveRequest& request, const UpstreamCall& call, const AttemptResult& result,
+                               const std::string& detail, Time now, StepOutput& output);
+    // Reports a failure to the client, and finishes the request.
     void fail(ActiveRequest& request, int status, observe::TerminationReason reason,
               const std::string& message, Time now, StepOutput& output);
-    // The request has its final answer, of this status, or needs none (0).
+    // Marks the request as finished and writes its record. `status` is that of the final response; 0 if none
+    // was needed.
     void finish(ActiveRequest& request, observe::Termination termination, int status,
                 observe::TerminationReason reason, Time now, StepOutput& output);
-    // Forgets a request that is finished and has no attempt in flight, and releases what is held for it.
-    void remove_if_over(ActiveRequest& request, Time now, StepOutput& output);
-    // Ends the request's deferred attempt, which never began.
+    // Removes a request that is finished and has no attempt in flight, and releases the KV state held for it.
+    void remove_if_complete(ActiveRequest& request, Time now, StepOutput& output);
+    // Drops the request's deferred attempt and reports it to the router as not sent, which implies nothing
+    // about its server.
     void drop_deferred(ActiveRequest& request, StepOutput& output);
 
 private:
--- a/src/core/request_intake.cpp
+++ b/src/core/request_intake.cpp
@@ -12,8 +12,8 @@
 using observe::TerminationReason;
 
 void RequestIntake::receive(ClientRequest& input, Time now, StepOutput& output) {
-    if (auto answer = parts_.protocol->answer(input.request, draining_))
-        return send_response(input.client, std::move(*answer), output);
+    if (auto response = parts_.protocol->local_response(input.request, draining_))
+        return send_response(input.client, std::move(*response), output);
     using Reason = Protocol::RejectionReason;
     const std::uint64_t number = parts_.requests.next_number();
     if (draining_)
@@ -36,10 +36,10 @@
     record.request = std::move(rejection.name);
     record.client_request = std::move(rejection.client_name);
     record.termination = termination;
-    record.status = rejection.answer.status;
+    record.status = rejection.response.status;
     record.reason = reason;
     output.record(std::move(record));
-    send_response(client, std::move(rejection.answer), output);
+    send_response(client, std::move(rejection.response), output);
 }
 
 void RequestIntake::start_request(ClientId client, ParsedRequest parsed, std::uint64_t number,
@@ -51,11 +51,11 @@
     request->parsed = std::move(parsed);
     request->body_bytes = body_bytes;
     request->arrived = now;
-    const Duration own_time = std::max(settings.tick, request->parsed.deadline - settings.answer_slack);
-    request->deadline = std::min(now + own_time, std::max(answer_deadline_, now + settings.tick));
-    // Before the end of this gateway cuts the stream anyway.
-    if (answer_deadline_ != Time::max() && settings.stream_resumption_enabled)
-        request->migrate_at = answer_deadline_;
+    const Duration time_budget = std::max(settings.tick, request->parsed.deadline - settings.answer_slack);
+    request->deadline = std::min(now + time_budget, std::max(response_deadline_, now + settings.tick));
+    // The shutdown would otherwise cut the stream off.
+    if (response_deadline_ != Time::max() && settings.stream_resumption_enabled)
+        request->migrate_at = response_deadline_;
     if (parts_.cache_index.enabled())
         request->reported_prefixes =
             parts_.cache_index.cached_prefixes(request->parsed.protocol_session->prompt_text());
--- a/src/core/request_intake.hpp
+++ b/src/core/request_intake.hpp
@@ -1,7 +1,7 @@
-// Accepts requests: turns what a client sends into an active request, or answers it at once.
+// Accepts requests: turns a client's request into an active request, or responds to it at once.
 //
-// Owns what a shutdown changes about that: whether new requests are taken, and until when those taken are
-// answered. Bad requests become answers; no other errors. Not thread-safe.
+// Owns the shutdown state of the intake: whether new requests are accepted, and by when accepted requests
+// must be answered. Invalid requests get error responses; there are no other errors. Not thread-safe.
 #pragma once
 
 #include "core/core_parts.hpp"
@@ -16,9 +16,10 @@
     explicit RequestIntake(CoreParts& parts) : parts_(parts) {}
 
     void receive(ClientRequest& input, Time now, StepOutput& output);
-    // Requests taken from now on are answered by the deadline, and their streams cut then to be resumed.
-    void announce_shutdown(Time answer_deadline) { answer_deadline_ = answer_deadline; }
-    // New requests are refused from now on.
+    // Requests accepted from now on must be answered by the deadline; streams that still run then are broken,
+    // for their clients to resume.
+    void announce_shutdown(Time response_deadline) { response_deadline_ = response_deadline; }
+    // Rejects new requests from now on.
     void start_drain() { draining_ = true; }
 
 private:
@@ -26,12 +27,12 @@
                 observe::TerminationReason reason, StepOutput& output);
     void start_request(ClientId client, ParsedRequest parsed, std::uint64_t number, std::size_t body_bytes,
                        Time now, StepOutput& output);
-    // The event that notifies the router of a new request.
+    // Returns the event that notifies the router of a new request.
     [[nodiscard]] RequestArrived arrival_of(const ActiveRequest& request, Time now) const;
 
     CoreParts& parts_;
     bool draining_ = false;
-    Time answer_deadline_ = Time::max();  // Time::max(): no shutdown is announced
+    Time response_deadline_ = Time::max();  // Time::max(): no shutdown is announced
 };
 
 }  // namespace chalksail::core
--- a/src/core/reserved_kv_states.cpp
+++ b/src/core/reserved_kv_states.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-// A release gives back memory that others wait for: it goes before all that would take some.
+// Releases free memory that other requests wait for, so they precede all calls that use memory.
 constexpr double kReleasePriority = std::numeric_limits<double>::max();
-// Rounds after the first call that each call twice as many servers as the one before: two, four and eight.
+// Rounds after the first call in which the number of servers called doubles: two, four and eight.
 constexpr std::int64_t kWideningRounds = 3;
-// Responses with a status below are a success.
+// Lower status codes mean success.
 constexpr int kFirstFailureStatus = 300;
 
 int calls_in_round(std::int64_t round) { return round <= kWideningRounds ? 1 << round : 1; }
@@ -100,15 +100,15 @@
 void ReservedKvStates::attempt_ended(RequestId id, const UpstreamCall& call, const AttemptResult& result,
                                      Time now, StepOutput& output) {
     Entry& entry = *find(id);
-    // The decode server could not fetch the state. Its prefill server may have it all the same.
+    // The decode server could not fetch the KV state, but the prefill server may still hold it.
     const bool not_fetched =
         result.outcome() == AttemptOutcome::at_capacity && result.classification.kv_state_missing;
     if (not_fetched && entry.held) {
         if (release_covers_request()) make_pending(id, entry, ReleaseReason::not_fetched);
         else release(id, ReleaseReason::not_fetched, now, output);
     }
-    // Guards against a clock that is set back by ends that prove nothing: bytes that were written may lie
-    // unread at a server that hangs, and their connection may break or be given up all the same.
+    // Only a response restarts the time until the release. Written bytes may remain unread at a server that
+    // hangs, so an attempt that ends without a response does not prove that it arrived.
     if (result.proves_arrival(call)) {
         if (entry.held) entry.held->since = now;
         if (entry.pending) entry.pending->since = now;
@@ -121,7 +121,7 @@
                       *server, now, output);
         return;
     }
-    // One call releases what each of its prefills may have left: the earliest counts.
+    // One call releases what any of the request's prefills may have left, so the earliest time counts.
     const Time since = entry.pending ? entry.pending->since : now;
     entry.pending = KvReservation{*server, "", call.attempt.value, since};
     pending_.push_back(id);
@@ -133,23 +133,24 @@
     assert(!in_flight.empty());
     const ReleaseCall& release = in_flight.mapped();
     const bool answered = ending == ExchangeEnd::response_received;
-    const bool has_none = answered && protocol_.lacks_release_call(call.status);
+    const bool unsupported = answered && protocol_.release_unsupported(call.status);
     const bool done = answered && call.status < kFirstFailureStatus;
-    if (has_none) without_release_.insert(call.server);
-    const char* const result = done ? "ok" : has_none ? "none" : "failed";
+    if (unsupported) servers_without_release_.insert(call.server);
+    const char* const result = done ? "ok" : unsupported ? "none" : "failed";
     output.record(ServerRecord{call.server, ServerAction::release, result});
     output.record(KvReservationRecord{
         release.name, done ? KvReservationAction::release_succeeded : KvReservationAction::release_failed,
         call.server, release.reason, now - release.held_since});
     release.progress->done = release.progress->done || done;
-    // Where any server takes it others are called at once: the time to release runs on while one is silent.
-    const bool repeat = release_covers_request() && !release.progress->done && release.leads;
+    // If any server accepts the call, others are called at once: the time limit for the release keeps running
+    // while a server is silent.
+    const bool repeat = release_covers_request() && !release.progress->done && release.starts_next_round;
     if (!repeat) return true;
     Entry* const entry = find(call.request);
     if (entry == nullptr || !entry->held)
         return !begin_next_round(call.request, release, call.server, now, output);
-    // Not once a prefill has ended well after it: a repeat would take that state, too, which has its own
-    // time.
+    // If a later prefill has left a KV state, repeating the call now would release that, too. The release
+    // stays pending instead, and is made together with that state's.
     const auto* const server = endpoints_.find(call.server);
     if (server != nullptr && !entry->pending)
         entry->pending =
@@ -158,8 +159,8 @@
     return false;
 }
 
-// Guards against a release that meets one silent server after another, as where a zone is cut off: the rounds
-// widen.
+// Each round calls more servers than the one before, as several servers may be silent, for example if a zone
+// is cut off.
 bool ReservedKvStates::begin_next_round(RequestId id, ReleaseCall release, const std::string& failed_at,
                                         Time now, StepOutput& output) {
     ReleaseProgress& progress = *release.progress;
@@ -168,14 +169,14 @@
     std::optional<CallId> leading;
     for (int i = 0; i < calls_in_round(progress.rounds); ++i) {
         const membership::EndpointConfig* next = endpoints_.last_active(progress.called);
-        if (next == nullptr && !leading) {  // all have been called: once more
+        if (next == nullptr && !leading) {  // all servers have been called: start over
             progress.called = {failed_at};
             next = endpoints_.last_active(progress.called);
         }
         if (next == nullptr) break;
-        release.leads = !leading;
+        release.starts_next_round = !leading;
         const auto call = begin_release(id, release, *next, now, output);
-        if (release.leads) leading = call;
+        if (release.starts_next_round) leading = call;
     }
     if (!leading) return false;
     if (Entry* const entry = find(id)) entry->last_release = leading;
@@ -202,10 +203,10 @@
     release_entry(id, entry, reservation, reason, now, output);
 }
 
-// Servers keep what an attempt waits for: where the attempt has arrived, the release takes nothing from it,
-// and where it has not, nothing is left behind. Which of the two holds shows only with its answer; until then
-// the release is repeated, as the server may die with the attempt.
-void ReservedKvStates::release_beside_attempt(RequestId id, ReleaseReason reason, Time now,
+// Servers do not release a KV state that an attempt waits for. If the attempt has arrived, the release does
+// not affect it; if not, the state is released. Only the server's response shows which is the case, so the
+// release is repeated until then: the server may fail together with the attempt.
+void ReservedKvStates::release_during_attempt(RequestId id, ReleaseReason reason, Time now,
                                               StepOutput& output) {
     assert(release_covers_request());
     Entry& entry = *find(id);
@@ -231,7 +232,7 @@
     for (const RequestId id : std::exchange(pending_, {})) {
         const Entry* const entry = find(id);
         if (entry == nullptr || !entry->pending) continue;
-        // With a state that is held, both are released together.
+        // A held KV state and a pending release are released together.
         if (attempt_in_flight(id) || entry->held) waiting.push_back(id);
         else release(id, entry->pending->reason, now, output);
     }
@@ -242,14 +243,14 @@
                                                       const membership::EndpointConfig& holder, Time now,
                                                       StepOutput& output) {
     if (release.progress == nullptr) release.progress = std::make_shared<ReleaseProgress>();
-    // The server that was active last is the likeliest to run and to be reached.
-    const membership::EndpointConfig* const likeliest =
+    // The most recently active server is the most likely to be running and reachable.
+    const membership::EndpointConfig* const preferred =
         release_covers_request() ? endpoints_.last_active(release.progress->called) : nullptr;
-    const membership::EndpointConfig& to = likeliest != nullptr ? *likeliest : holder;
+    const membership::EndpointConfig& to = preferred != nullptr ? *preferred : holder;
     const std::string& server = to.endpoint.id.value;
     auto request = protocol_.release(release.name, release.attempt, release.state, to.endpoint.kind);
-    if (!request || without_release_.contains(server)) {
-        // Counted and logged: the state stays until the engine drops it by its own time.
+    if (!request || servers_without_release_.contains(server)) {
+        // The KV state remains until the server's own timeout; the record logs and counts this.
         output.record(ServerRecord{server, ServerAction::release, "none"});
         return std::nullopt;
     }
--- a/src/core/routing_policy.hpp
+++ b/src/core/routing_policy.hpp
@@ -1,6 +1,6 @@
-// What decides for an edge: the router of src/policy, or a baseline that the laboratory compares it with. The
-// contract is that of chalksail::Router; the core's guards (attempt_guard.hpp) stand between either and the
-// wire.
+// The interface to an edge's routing policy: the router of src/policy, or a baseline that the laboratory
+// compares it with. The contract is that of chalksail::Router. The attempts of any policy pass the core's
+// checks (attempt_guard.hpp) before they are sent.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -23,15 +23,15 @@
     [[nodiscard]] virtual std::size_t tracked_requests() const = 0;
 };
 
-// The router of src/policy. Throws std::invalid_argument if it refuses its settings.
+// Returns the router of src/policy. Throws std::invalid_argument if it rejects its settings.
 [[nodiscard]] std::unique_ptr<RoutingPolicy> make_router_policy(const config::EdgeSettings& settings);
 
-// A routing policy together with the timers that it has set. Not thread-safe.
+// A routing policy and the timers that it has set. Not thread-safe.
 class RouterHost {
 public:
     explicit RouterHost(std::unique_ptr<RoutingPolicy> policy) : policy_(std::move(policy)) {}
 
-    // Hands the policy the events and returns its actions, to be carried out in order.
+    // Passes the events to the policy and returns its actions, to be carried out in order.
     [[nodiscard]] std::vector<Action> step(Time now, std::span<const Event> events) {
         return policy_->step(now, events);
     }
--- a/src/core/step_output.hpp
+++ b/src/core/step_output.hpp
@@ -1,8 +1,8 @@
-// Collects what one step of the core produces, in order: effects for the network layer, events for the
+// Collects the results of one step of the core, in order: effects for the network layer, and events for the
 // router.
 //
-// The coordinator (edge.hpp) owns one and passes it to the parts as an argument; none of them keeps it. The
-// order of both lists is part of the core's behaviour: the same inputs give the same lists.
+// The coordinator (edge.hpp) owns the only instance and passes it to the parts as an argument; they must not
+// store it. The order of both lists is part of the core's behaviour: the same inputs give the same lists.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
--- a/src/core/upstream_calls.hpp
+++ b/src/core/upstream_calls.hpp
@@ -1,9 +1,9 @@
 // The HTTP exchanges with servers that are in flight: attempts of requests, releases and reservations of KV
-// state, health checks and verifications.
+// states, health checks and verifications.
 //
-// Owns each call from its beginning until its end is reported, and the timers of calls. What a call's end
-// means is decided by others (attempt_result.hpp, reserved_kv_states.hpp). Free of I/O and clock; not
-// thread-safe; no errors.
+// Owns each call from its beginning until its end is reported, and the timers of calls. The end of a call is
+// interpreted elsewhere (attempt_result.hpp, reserved_kv_states.hpp). No I/O, no clock; not thread-safe;
+// reports no errors.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -22,11 +22,11 @@
 
 namespace chalksail::core {
 
-// How much of a call has been handed to its connection. Only ever moves on.
+// How much of a call has been handed to its connection. The phase never goes back.
 enum class SendPhase {
-    queued,   // nothing: it waits for a connection
-    sending,  // its first byte
-    written,  // its last byte
+    queued,   // nothing: the call waits for a connection
+    sending,  // the first byte
+    written,  // the last byte
 };
 
 // One exchange with a server.
@@ -37,25 +37,25 @@
     std::string server_kind;
     Time begun{};
     SendPhase send_phase = SendPhase::queued;
-    std::optional<Time> timer;  // when it is given up
-    int status = 0;             // of the response; 0: none yet
+    std::optional<Time> timer;  // when the call is aborted
+    int status = 0;             // status of the response; 0: not received yet
     ResponseHead head;
-    std::string body;  // of a prefill, a health check or an error; bounded
+    std::string body;  // response body of a prefill, a health check or an error; limited in size
 
-    // Of attempts, releases and reservations.
+    // For attempts, releases and reservations.
     RequestId request;
 
-    // Of attempts only.
+    // For attempts only.
     AttemptId attempt;
     bool prefill = false;
-    std::optional<Time> timeout;  // the router's own for this attempt
-    bool paused = false;          // its response is not read, because its client is slow
-    bool half_closed = false;     // cancelled by the end of its sending; its response may be on the way
-    std::unique_ptr<DecodeResponseParser> parser;  // of a decode response with status 200
+    std::optional<Time> timeout;  // the timeout that the router set for this attempt
+    bool paused = false;          // the response is not read, because the client is slow
+    bool half_closed = false;     // cancelled by a half-close; the response may still be on its way
+    std::unique_ptr<DecodeResponseParser> parser;  // for a decode response with status 200
 
     [[nodiscard]] bool sent() const { return send_phase != SendPhase::queued; }
     [[nodiscard]] bool written() const { return send_phase == SendPhase::written; }
-    // Moves on to `phase`, unless the call is further already.
+    // Advances to `phase`, unless the call has already reached or passed it.
     void advance(SendPhase phase);
 };
 
@@ -64,21 +64,22 @@
     // Begins a call; the reference is valid until end().
     UpstreamCall& begin(CallKind kind, const membership::EndpointConfig& server, ServerRequest request,
                         double priority, Time now, StepOutput& output);
-    // nullptr: it has ended.
+    // Returns nullptr if the call has ended.
     [[nodiscard]] UpstreamCall* find(CallId id);
     [[nodiscard]] const UpstreamCall* find(CallId id) const;
-    // Takes a call out, with its timer. It must be in flight.
+    // Removes a call and its timer, and returns the call. It must be in flight.
     [[nodiscard]] UpstreamCall end(CallId id);
 
-    // Gives the call up at `due`. A call has at most one timer.
+    // Sets the time at which the call is aborted. A call has at most one timer.
     void set_timer(UpstreamCall& call, Time due);
-    // The next call whose timer is due, and removes that timer.
+    // Removes the earliest timer that is due and returns its call; std::nullopt if none is due.
     [[nodiscard]] std::optional<CallId> pop_due(Time now);
     [[nodiscard]] std::optional<Time> next_timer() const;
 
-    // Attempts of which nothing was sent, to any of these servers; in the order of their beginning.
+    // Returns the attempts to any of these servers of which no byte was sent, in the order in which they
+    // began.
     [[nodiscard]] std::vector<CallId> queued_attempts(const std::set<std::string>& servers) const;
-    // The servers that a call is in flight to.
+    // Returns the servers to which a call is in flight.
     [[nodiscard]] std::set<std::string> servers_in_use() const;
     [[nodiscard]] std::size_t count() const { return calls_.size(); }
 
--- a/src/core/vllm_protocol.cpp
+++ b/src/core/vllm_protocol.cpp
@@ -15,7 +15,7 @@
 namespace chalksail::core {
 namespace {
 
-// A client's time-out beyond a day is taken for a day: no overflow in nanoseconds.
+// One day. Longer timeouts of clients are reduced to it, to avoid an overflow in nanoseconds.
 constexpr std::int64_t kMaxTimeoutMs = 86'400'000;
 
 http::Headers json_headers() {
@@ -23,11 +23,11 @@
     out.add("Content-Type", "application/json");
     return out;
 }
-ClientResponse error_answer(const chat::ApiError& error, http::Headers headers) {
+ClientResponse error_response(const chat::ApiError& error, http::Headers headers) {
     headers.add("Content-Type", "application/json");
     return {error.status, std::move(headers), chat::format_error(error)};
 }
-http::Headers named(const std::string& name) {
+http::Headers request_id_headers(const std::string& name) {
     http::Headers out;
     out.add(std::string(engine::kRequestIdHeader), name);
     return out;
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-class VllmProtocol::Request : public ProtocolSession {
+class VllmProtocol::Session : public ProtocolSession {
 public:
     const config::EdgeSettings* settings = nullptr;
     TokenEstimate* tokens = nullptr;
@@ -56,7 +56,7 @@
     std::string idempotency_key;
     chat::Request chat;
     std::string body;
-    std::unique_ptr<chat::Collector> collector;  // where the client wants one object
+    std::unique_ptr<chat::Collector> collector;  // nullptr if the client requested a stream
     engine::Usage usage;
 
     [[nodiscard]] ServerRequest prefill_request(std::int64_t attempt, Duration) const override {
@@ -88,7 +88,7 @@
     [[nodiscard]] double completion_tokens() const override { return usage.completion_tokens; }
 
     [[nodiscard]] bool streams() const override { return chat.stream; }
-    [[nodiscard]] ClientResponse collected() override {
+    [[nodiscard]] ClientResponse collected_response() override {
         auto headers = json_headers();
         headers.add(std::string(engine::kRequestIdHeader), name);
         return {200, std::move(headers), collector->finish()};
@@ -113,24 +113,26 @@
         headers.add("Retry-After-Ms", std::to_string(ms));
         headers.add("X-Should-Retry", "true");
         headers.add(std::string(engine::kRequestIdHeader), name);
-        return error_answer({503, "no room to serve this in time; nothing was done, try again",
-                             "server_error", "", "refused"},
-                            std::move(headers));
+        return error_response(
+            {503,
+             "no capacity to complete the request before its deadline; it was not run and can be retried",
+             "server_error", "", "refused"},
+            std::move(headers));
     }
     [[nodiscard]] ClientResponse failure(int status, const std::string& message,
                                          bool retryable) const override {
-        auto headers = named(name);
-        // The OpenAI clients try again by themselves after any 5xx. What may have run and must not run twice
-        // says no.
+        auto headers = request_id_headers(name);
+        // OpenAI clients retry automatically after any 5xx status. A request that may have run and must not
+        // run twice has to prevent that.
         if (!retryable) headers.add("X-Should-Retry", "false");
-        return error_answer({status, message, "server_error", "", "failed"}, std::move(headers));
+        return error_response({status, message, "server_error", "", "failed"}, std::move(headers));
     }
     [[nodiscard]] ClientResponse server_rejection(int status, const ResponseHead& head,
-                                                  std::string answer) const override {
+                                                  std::string server_body) const override {
         http::Headers headers;
         headers.add("Content-Type", head.content_type.empty() ? "application/json" : head.content_type);
         headers.add(std::string(engine::kRequestIdHeader), name);
-        return {status, std::move(headers), std::move(answer)};
+        return {status, std::move(headers), std::move(server_body)};
     }
 
 private:
@@ -149,35 +151,37 @@
 
 namespace {
 
-template <class Request>
-class Events : public DecodeResponseParser {
+template <class Session>
+class ChatStreamParser : public DecodeResponseParser {
 public:
-    Events(Request& request, std::size_t event_bytes) : request_(request), reader_(event_bytes) {}
+    ChatStreamParser(Session& session, std::size_t event_bytes) : session_(session), reader_(event_bytes) {}
 
     Progress feed(std::string_view bytes) override {
         Progress out;
         for (const auto& data : reader_.feed(bytes)) {
             const auto chunk = engine::read_chunk(data);
-            if (chunk.usage) request_.usage = *chunk.usage;
+            if (chunk.usage) session_.usage = *chunk.usage;
             switch (chunk.kind) {
                 case engine::ChunkKind::done:
                     done_ = true;
                     out.state = State::complete;
                     return out;
-                case engine::ChunkKind::error: return malformed(std::move(out), "error event");
-                case engine::ChunkKind::broken: return malformed(std::move(out), "not a chunk");
+                case engine::ChunkKind::error:
+                    return malformed(std::move(out), "the server sent an error event");
+                case engine::ChunkKind::broken:
+                    return malformed(std::move(out), "invalid event in the stream");
                 case engine::ChunkKind::chunk:
                 case engine::ChunkKind::usage_only: break;
             }
             out.events += 1;
-            if (request_.collector != nullptr) {
-                if (!request_.collector->add(data))
-                    return malformed(std::move(out), "answer too large, or not a chunk");
+            if (session_.collector != nullptr) {
+                if (!session_.collector->add(data))
+                    return malformed(std::move(out), "response too large, or invalid event in the stream");
                 continue;
             }
-            // The engine's count is always requested, to correct the estimate; the client sees it only if it
-            // requested it, too.
-            if (chunk.kind == engine::ChunkKind::usage_only && !request_.chat.include_usage) continue;
+            // The server's token count is always requested, to correct the estimate. It is forwarded only if
+            // the client requested it, too.
+            if (chunk.kind == engine::ChunkKind::usage_only && !session_.chat.include_usage) continue;
             out.to_client += chat::format_event(data);
         }
         if (reader_.overflowed()) return malformed(std::move(out), "event too large");
@@ -191,34 +195,34 @@
         out.detail = detail;
         return out;
     }
-    Request& request_;
+    Session& session_;
     chat::SseReader reader_;
     bool done_ = false;
 };
 
 }  // namespace
 
-std::unique_ptr<DecodeResponseParser> VllmProtocol::Request::decode_parser() {
-    return std::make_unique<Events<Request>>(*this, settings->limits.event_bytes);
+std::unique_ptr<DecodeResponseParser> VllmProtocol::Session::decode_parser() {
+    return std::make_unique<ChatStreamParser<Session>>(*this, settings->limits.event_bytes);
 }
 
 VllmProtocol::VllmProtocol(const config::EdgeSettings& settings)
     : settings_(settings), tokens_(settings.router.classes.size(), settings.tokens_per_byte) {}
 
-std::string VllmProtocol::name_of(std::uint64_t number) const {
+std::string VllmProtocol::request_name(std::uint64_t number) const {
     return settings_.name + "-" + std::to_string(settings_.seed) + "-" + std::to_string(number);
 }
 
 // ================= clients =================
 
-std::optional<ClientResponse> VllmProtocol::answer(const http::Request& request, bool) const {
+std::optional<ClientResponse> VllmProtocol::local_response(const http::Request& request, bool) const {
     const auto path = request.path();
     if (path == engine::kChatPath) {
         if (request.method == "POST") return std::nullopt;
         http::Headers allow;
         allow.add("Allow", "POST");
-        return error_answer({405, "use POST", "invalid_request_error", "", "method_not_allowed"},
-                            std::move(allow));
+        return error_response({405, "use POST", "invalid_request_error", "", "method_not_allowed"},
+                              std::move(allow));
     }
     if (path == "/v1/models" && request.method == "GET") {
         std::string list;
@@ -233,29 +237,30 @@
         }
         return ClientResponse{200, json_headers(), R"({"object":"list","data":[)" + list + "]}"};
     }
-    return error_answer({404, "no such path", "invalid_request_error", "", "not_found"}, {});
+    return error_response({404, "no such path", "invalid_request_error", "", "not_found"}, {});
 }
 
 Rejection VllmProtocol::reject(const http::Request& request, std::uint64_t number,
                                RejectionReason reason) const {
-    const auto name = name_of(number);
-    auto headers = named(name);
+    const auto name = request_name(number);
+    auto headers = request_id_headers(name);
     headers.add("Retry-After", "1");
     headers.add("X-Should-Retry", "true");
     const bool draining = reason == RejectionReason::draining;
     if (draining) headers.add("Connection", "close");
-    return {error_answer({503, draining ? "this gateway is going away" : "too many open requests",
-                          "server_error", "", "refused"},
-                         std::move(headers)),
+    return {error_response({503, draining ? "the gateway is shutting down" : "too many open requests",
+                            "server_error", "", "refused"},
+                           std::move(headers)),
             name, std::string(request.headers.get(engine::kRequestIdHeader))};
 }
 
 tl::expected<ParsedRequest, Rejection> VllmProtocol::parse(http::Request& request, std::uint64_t number) {
     ParsedRequest out;
-    out.name = name_of(number);
+    out.name = request_name(number);
     out.client_name = request.headers.get(engine::kRequestIdHeader);
     const auto reject = [&](const chat::ApiError& error) {
-        return tl::unexpected(Rejection{error_answer(error, named(out.name)), out.name, out.client_name});
+        return tl::unexpected(
+            Rejection{error_response(error, request_id_headers(out.name)), out.name, out.client_name});
     };
     out.tenant = tenant_of(request);
     if (settings_.require_key && out.tenant.empty())
@@ -276,7 +281,7 @@
 
     out.session = request.headers.get(settings_.session_header);
     if (out.session.empty()) out.session = chat->session;
-    // Sessions of two tenants are never the same one.
+    // The tenant's name keeps sessions of different tenants apart.
     out.session = out.session.empty() ? out.name : out.tenant + "/" + out.session;
     const auto retries = request.headers.get(kRetryHeader);
     out.retry = !retries.empty() && retries != "0";
@@ -334,7 +339,7 @@
 std::unique_ptr<ProtocolSession> VllmProtocol::start_session(const ParsedRequest& parsed,
                                                              std::string idempotency_key, chat::Request chat,
                                                              std::string body) {
-    auto session = std::make_unique<Request>();
+    auto session = std::make_unique<Session>();
     session->settings = &settings_;
     session->tokens = &tokens_;
     session->class_index = parsed.class_index;
@@ -361,9 +366,9 @@
 
 std::optional<PrefillResult> VllmProtocol::parse_prefill(int status, std::string_view body) const {
     if (status != 200) return std::nullopt;
-    auto answer = engine::parse_prefill_response(body);
-    if (!answer) return std::nullopt;
-    return PrefillResult{std::move(answer->kv_params), answer->prompt_tokens, answer->cached_tokens};
+    auto response = engine::parse_prefill_response(body);
+    if (!response) return std::nullopt;
+    return PrefillResult{std::move(response->kv_params), response->prompt_tokens, response->cached_tokens};
 }
 
 engine::AttemptClassification VllmProtocol::classify(const engine::AttemptObservation& observed,
@@ -384,7 +389,7 @@
     return ServerRequest{"POST", std::string(engine::kReleasePath), std::move(headers),
                          engine::release_body(name, state)};
 }
-bool VllmProtocol::lacks_release_call(int status) const {
+bool VllmProtocol::release_unsupported(int status) const {
     return status == 404 || status == 405 || status == 501;
 }
 
--- a/src/core/vllm_protocol.hpp
+++ b/src/core/vllm_protocol.hpp
@@ -1,5 +1,5 @@
-// vLLM's disaggregated prefill behind an OpenAI-style front: the codecs of src/chat and src/engine put
-// together. See protocol.hpp for ownership, threads and errors.
+// Implements Protocol for vLLM's disaggregated prefill behind an OpenAI-style API, with the codecs of
+// src/chat and src/engine. See protocol.hpp for ownership, threads and errors.
 #pragma once
 
 #include "chat/request.hpp"
@@ -16,8 +16,8 @@
 public:
     explicit VllmProtocol(const config::EdgeSettings& settings);
 
-    [[nodiscard]] std::optional<ClientResponse> answer(const http::Request& request,
-                                                       bool draining) const override;
+    [[nodiscard]] std::optional<ClientResponse> local_response(const http::Request& request,
+                                                               bool draining) const override;
     [[nodiscard]] Rejection reject(const http::Request& request, std::uint64_t number,
                                    RejectionReason reason) const override;
     [[nodiscard]] tl::expected<ParsedRequest, Rejection> parse(http::Request& request,
@@ -27,12 +27,12 @@
                                                              std::string_view body) const override;
     [[nodiscard]] engine::AttemptClassification classify(const engine::AttemptObservation& observation,
                                                          const std::string& kind) const override;
-    [[nodiscard]] ReleaseScope release_covers() const override { return ReleaseScope::attempt; }
+    [[nodiscard]] ReleaseScope release_scope() const override { return ReleaseScope::attempt; }
     [[nodiscard]] std::optional<ServerRequest> release(const std::string& name, std::int64_t attempt,
                                                        const std::string& state,
                                                        const std::string& kind) const override;
-    [[nodiscard]] bool lacks_release_call(int status) const override;
-    // These engines reserve no capacity ahead.
+    [[nodiscard]] bool release_unsupported(int status) const override;
+    // vLLM servers have no call that reserves capacity.
     [[nodiscard]] std::optional<ServerRequest> reservation_request(const std::string&) const override {
         return std::nullopt;
     }
@@ -42,16 +42,16 @@
                                                         std::string_view body) const override;
 
 private:
-    class Request;
-    // A name of its own for each request, also after a restart.
-    [[nodiscard]] std::string name_of(std::uint64_t number) const;
-    // By the API key; empty: of none.
+    class Session;
+    // Returns a name that is unique for each request, also across restarts.
+    [[nodiscard]] std::string request_name(std::uint64_t number) const;
+    // Returns the tenant of the request's API key; empty if the key is missing or unknown.
     [[nodiscard]] std::string tenant_of(const http::Request& request) const;
-    // The index of the first class with a rule that matches; an error if there is none or the model is
+    // Returns the index of the first class with a matching rule; an error if there is none or the model is
     // unknown.
     [[nodiscard]] tl::expected<std::size_t, chat::ApiError> class_of(const http::Request& request,
                                                                      const std::string& model) const;
-    // The class's, or a shorter one that the client asks for.
+    // Returns the deadline of the class, or a shorter one that the client requests.
     [[nodiscard]] tl::expected<Duration, chat::ApiError> deadline_of(const http::Request& request,
                                                                      std::size_t class_index) const;
     [[nodiscard]] std::unique_ptr<ProtocolSession> start_session(const ParsedRequest& parsed,
--- a/tests/core/active_requests_test.cpp
+++ b/tests/core/active_requests_test.cpp
@@ -1,4 +1,4 @@
-// Phases, timers and limits of active requests.
+// Tests the phases, timers and limits of active requests.
 #include "core/active_requests.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 constexpr Time kNow{1000s};
 
-// A session that only says that its client wants a stream.
+// A session of a streaming client that implements nothing else.
 class StreamSession : public ProtocolSession {
 public:
     [[nodiscard]] ServerRequest prefill_request(std::int64_t, Duration) const override { return {}; }
@@ -65,7 +65,7 @@
     EXPECT_EQ(requests.find(RequestId{1}), nullptr);
 }
 
-TEST(ActiveRequests, LimitsCountRequestsAndBytesOfBodiesThatAreKept) {
+TEST(ActiveRequests, LimitsCountOpenRequestsAndBytesOfBodiesNotYetFreed) {
     config::EdgeLimits limits;
     limits.open_requests = 2;
     limits.request_bytes = 100;
@@ -81,14 +81,14 @@
     EXPECT_TRUE(requests.has_capacity(0));
 }
 
-TEST(ActiveRequests, TimersComeInTheirOrderAndOncePerRequest) {
+TEST(ActiveRequests, TimersFireInOrderAndOncePerRequest) {
     const config::EdgeLimits limits;
     ActiveRequests requests(limits);
     ActiveRequest& one = requests.add(request(1));
     ActiveRequest& two = requests.add(request(2));
     requests.set_timer(one, kNow + 1s);
     requests.set_timer(two, kNow + 2s);
-    requests.set_timer(one, kNow + 3s);  // in place of the first
+    requests.set_timer(one, kNow + 3s);  // replaces the first timer
     EXPECT_EQ(requests.next_timer(), kNow + 2s);
     EXPECT_EQ(requests.pop_due(kNow + 1s), nullptr);
     EXPECT_EQ(requests.pop_due(kNow + 5s), &two);
@@ -99,7 +99,7 @@
     EXPECT_EQ(requests.next_timer(), std::nullopt);
 }
 
-TEST(ActiveRequests, OverdueIsAPhaseOfTheUnfinished) {
+TEST(ActiveRequests, OnlyUnfinishedRequestsBecomeOverdue) {
     const config::EdgeLimits limits;
     ActiveRequests requests(limits);
     ActiveRequest& one = requests.add(request(1));
@@ -110,7 +110,7 @@
     EXPECT_EQ(one.phase, RequestPhase::finished);
 }
 
-TEST(StreamLimit, EndsAtTheEarliestAndAPausedStreamIsNotIdle) {
+TEST(StreamLimit, UsesTheEarliestLimitAndPausedStreamsAreNotIdle) {
     config::EdgeLimits limits;
     limits.max_stream_duration = 60s;
     limits.stream_idle_timeout = 5s;
--- a/tests/core/driver.hpp
+++ b/tests/core/driver.hpp
@@ -1,4 +1,4 @@
-// A hand-driven edge core: virtual time, and servers that do what the test says.
+// Drives an edge core by hand in virtual time; the test determines the responses of the servers.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -40,7 +40,7 @@
     return s;
 }
 
-inline constexpr const char* kPrefillAnswer =
+inline constexpr const char* kPrefillResponse =
     R"({"id":"x","usage":{"prompt_tokens":40,"completion_tokens":1},"kv_transfer_params":{"remote_engine_id":"r","remote_block_ids":[1,2]}})";
 inline std::string chunk(const std::string& text) {
     return chat::format_event(
@@ -56,16 +56,16 @@
                     std::shared_ptr<const engine::Vocabulary> vocabulary = nullptr)
         : edge(s, std::move(vocabulary)) {}
 
-    void give(std::vector<Input> inputs) {
+    void step(std::vector<Input> inputs) {
         for (auto& o : edge.step(now, std::move(inputs))) {
             if (auto* call = std::get_if<Call>(&o)) calls.push_back(*call);
             else if (auto* abort = std::get_if<AbortCall>(&o)) aborted.push_back(abort->call);
-            else if (auto* reply = std::get_if<SendResponse>(&o)) replies.push_back(*reply);
+            else if (auto* response = std::get_if<SendResponse>(&o)) responses.push_back(*response);
             else if (auto* bytes = std::get_if<SendStreamBytes>(&o)) streamed += bytes->bytes;
             else if (std::get_if<BeginStream>(&o) != nullptr) streams_begun += 1;
             else if (std::get_if<EndStream>(&o) != nullptr) streams_ended += 1;
             else if (std::get_if<AbortStream>(&o) != nullptr) streams_aborted += 1;
-            else if (auto* flow = std::get_if<SetCallPaused>(&o)) flows.push_back(*flow);
+            else if (auto* pause = std::get_if<SetCallPaused>(&o)) pauses.push_back(*pause);
             else if (auto* endpoint = std::get_if<ForgetEndpoint>(&o)) forgotten.push_back(endpoint->server);
             else if (auto* emitted = std::get_if<EmitRecord>(&o)) {
                 if (auto* r = std::get_if<observe::RequestRecord>(&emitted->record)) requests.push_back(*r);
@@ -75,21 +75,21 @@
             }
         }
     }
-    // Lets time pass, waking the core whenever it asks.
-    void pass(Duration d) {
+    // Advances the time, stepping the core whenever one of its timers is due.
+    void advance_time(Duration d) {
         const Time until = now + d;
         for (auto wake = edge.next_wake(); wake && *wake <= until; wake = edge.next_wake()) {
             now = std::max(now + Duration(1), *wake);
-            give({});
+            step({});
         }
         now = std::max(now, until);
-        give({});
+        step({});
     }
     void list(std::vector<membership::EndpointConfig> servers_listed,
               EndpointUpdateKind scope = EndpointUpdateKind::snapshot) {
-        give({membership::EndpointList{scope, std::move(servers_listed)}});
+        step({membership::EndpointList{scope, std::move(servers_listed)}});
     }
-    void usual_list() {
+    void list_default_servers() {
         list(
             {listed("r1", "reader"), listed("r2", "reader"), listed("w1", "writer"), listed("w2", "writer")});
     }
@@ -103,9 +103,9 @@
         r.body = R"({"model":")" + model +
                  R"(","messages":[{"role":"user","content":"Is the jollof ready?"}],"max_tokens":20)" + more +
                  "}";
-        give({ClientRequest{{client}, std::move(r)}});
+        step({ClientRequest{{client}, std::move(r)}});
     }
-    // The attempts sent so far.
+    // Returns the calls of all attempts so far.
     [[nodiscard]] std::vector<Call> sent() const {
         std::vector<Call> out;
         for (const auto& c : calls)
@@ -118,20 +118,20 @@
             if (c.kind == CallKind::release) out.push_back(c);
         return out;
     }
-    void answer_prefill(CallId call) {
+    void complete_prefill(CallId call) {
         now += 20ms;
-        give({CallSent{call}, CallHead{call, 200, {}}, CallBody{call, kPrefillAnswer}, CallDone{call}});
+        step({CallSent{call}, CallHead{call, 200, {}}, CallBody{call, kPrefillResponse}, CallDone{call}});
     }
     void head(CallId call, int status = 200, http::Headers headers = {}) {
-        give({CallSent{call}, CallHead{call, status, std::move(headers)}});
+        step({CallSent{call}, CallHead{call, status, std::move(headers)}});
     }
-    void body(CallId call, const std::string& bytes) { give({CallBody{call, bytes}}); }
-    // Asks, and takes it through the read: the write is out then.
-    CallId to_decode(const std::string& model = "m", const std::string& more = R"(,"stream":true)",
-                     http::Headers headers = {}) {
+    void body(CallId call, const std::string& bytes) { step({CallBody{call, bytes}}); }
+    // Sends a request and completes its prefill. Returns the call of the decode attempt that follows.
+    CallId advance_to_decode(const std::string& model = "m", const std::string& more = R"(,"stream":true)",
+                             http::Headers headers = {}) {
         send_request(model, more, std::move(headers));
         EXPECT_EQ(sent().size(), 1U);
-        answer_prefill(sent().back().call);
+        complete_prefill(sent().back().call);
         EXPECT_EQ(sent().size(), 2U);
         return sent().back().call;
     }
@@ -143,8 +143,8 @@
     Edge edge;
     std::vector<Call> calls;
     std::vector<CallId> aborted;
-    std::vector<SendResponse> replies;
-    std::vector<SetCallPaused> flows;
+    std::vector<SendResponse> responses;
+    std::vector<SetCallPaused> pauses;
     std::vector<observe::RequestRecord> requests;
     std::vector<observe::AttemptRecord> attempts;
     std::vector<observe::GuardRecord> guards;
@@ -156,8 +156,8 @@
     int streams_aborted = 0;
 };
 
-// Nothing is left of anything.
-inline void expect_empty(const Driver& d) {
+// Checks that no request, stream or KV state is left, and that no guard has triggered.
+inline void expect_no_open_work(const Driver& d) {
     const auto g = d.edge.gauges();
     EXPECT_EQ(g.open_requests, 0U);
     EXPECT_EQ(g.started_streams, 0U);
--- a/tests/core/endpoint_registry_test.cpp
+++ b/tests/core/endpoint_registry_test.cpp
@@ -1,4 +1,4 @@
-// The endpoint list, verification and activity, as the registry keeps them.
+// Tests the registry's endpoint list, verification and activity.
 #include "core/endpoint_registry.hpp"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
     StepOutput output;
 };
 
-TEST_F(EndpointRegistryTest, SnapshotsRemoveAndDeltasDoNot) {
+TEST_F(EndpointRegistryTest, SnapshotsRemoveUnlistedEndpointsAndDeltasDoNot) {
     EXPECT_TRUE(list({listed("r1", "reader"), listed("r2", "reader")}).empty());
     EXPECT_TRUE(list({listed("r1", "reader")}, EndpointUpdateKind::delta).empty());
     EXPECT_TRUE(registry.is_up("r2"));
@@ -36,13 +36,13 @@
     EXPECT_FALSE(registry.is_up("r2"));
     EXPECT_EQ(actions(output.take_effects()).back(), observe::ServerAction::removed);
     EXPECT_EQ(list({listed("r1", "reader")}), std::set<std::string>{"r2"});
-    EXPECT_TRUE(output.take_effects().empty());            // it was removed before
+    EXPECT_TRUE(output.take_effects().empty());            // already removed
     EXPECT_TRUE(registry.forget_removed({"r2"}).empty());  // a call to it is in flight
     EXPECT_EQ(registry.forget_removed({}), std::vector<std::string>{"r2"});
     EXPECT_EQ(registry.find("r2"), nullptr);
 }
 
-TEST_F(EndpointRegistryTest, ARestartedEndpointIsUnavailableForWhatWasQueued) {
+TEST_F(EndpointRegistryTest, ARestartedEndpointIsUnavailableForQueuedAttempts) {
     auto server = listed("r1", "reader");
     EXPECT_TRUE(list({server}).empty());
     server.endpoint.started_at = kNow;
@@ -53,7 +53,7 @@
     EXPECT_TRUE(output.take_effects().empty());  // nothing has changed
 }
 
-TEST_F(EndpointRegistryTest, AnUnverifiedEndpointDrainsForTheRouterUntilItProvesItsName) {
+TEST_F(EndpointRegistryTest, AnUnverifiedEndpointIsReportedAsDrainingUntilItIsVerified) {
     EXPECT_TRUE(list({listed("r1", "reader")}).empty());
     EXPECT_EQ(output.take_events().size(), 1U);
     EXPECT_TRUE(registry.mark_unverified("r1", "name mismatch", kNow, output));
@@ -71,9 +71,9 @@
     EXPECT_EQ(registry.unverified_count(), 0U);
 }
 
-TEST_F(EndpointRegistryTest, LastActiveIsOfThoseThatAreUp) {
+TEST_F(EndpointRegistryTest, LastActiveConsidersOnlyEndpointsThatAreUp) {
     EXPECT_TRUE(list({listed("r1", "reader"), listed("r2", "reader"), listed("r3", "reader")}).empty());
-    EXPECT_EQ(registry.last_active({})->endpoint.id.value, "r1");  // nothing received: by name
+    EXPECT_EQ(registry.last_active({})->endpoint.id.value, "r1");  // none was active: the first by name
     registry.record_activity("r2", kNow);
     registry.record_activity("r3", kNow + 1s);
     EXPECT_EQ(registry.last_active({})->endpoint.id.value, "r3");
--- a/tests/core/last_activity_test.cpp
+++ b/tests/core/last_activity_test.cpp
@@ -10,13 +10,13 @@
 constexpr Time kNow{1000s};
 const auto kAny = [](const std::string&) { return true; };
 
-TEST(LastActivity, MostRecentComesFirst) {
+TEST(LastActivity, ReturnsTheMostRecentlyActiveServer) {
     LastActivity activity;
     EXPECT_EQ(activity.most_recent(kAny), nullptr);
     activity.record("a", kNow);
     activity.record("b", kNow + 1s);
     activity.record("c", kNow + 1s);
-    EXPECT_EQ(*activity.most_recent(kAny), "b");  // of the same moment, by name
+    EXPECT_EQ(*activity.most_recent(kAny), "b");  // same time: ordered by name
     EXPECT_EQ(*activity.most_recent([](const std::string& s) { return s != "b"; }), "c");
     activity.record("a", kNow + 2s);
     EXPECT_EQ(*activity.most_recent(kAny), "a");
@@ -25,8 +25,8 @@
     EXPECT_EQ(*activity.most_recent(kAny), "b");
 }
 
-// To the millisecond: a release goes to the server whose answer has just come.
-TEST(LastActivity, EachActivityCounts) {
+// Activity counts to the millisecond, as a release is sent to the server that responded last.
+TEST(LastActivity, EachActivityChangesTheOrder) {
     LastActivity activity;
     activity.record("a", kNow);
     activity.record("b", kNow + 1ms);
--- a/tests/core/platform_driver.hpp
+++ b/tests/core/platform_driver.hpp
@@ -1,4 +1,4 @@
-// A hand-driven edge core on the users' platform.
+// Drives an edge core on the users' platform by hand.
 #pragma once
 
 #include <string>
@@ -17,25 +17,25 @@
 struct Platform : Driver {
     explicit Platform(const std::string& text = platform_text::configuration_text())
         : Platform(platform_settings(platform::parse_configuration(text, {}).value())) {}
-    explicit Platform(const config::EdgeSettings& with) : Driver(with) { usual_list(); }
-    void get(const std::string& bytes, std::uint64_t client = 1) {
+    explicit Platform(const config::EdgeSettings& with) : Driver(with) { list_default_servers(); }
+    void receive(const std::string& bytes, std::uint64_t client = 1) {
         http::RequestReader reader({});
         std::string_view remaining = bytes;
-        give({ClientRequest{{client}, std::get<http::Request>(reader.feed(remaining))}});
+        step({ClientRequest{{client}, std::get<http::Request>(reader.feed(remaining))}});
     }
-    void written(CallId call) { give({CallSent{call}, CallWritten{call}}); }
-    void answer(CallId call, int status, const std::string& bytes = "", const std::string& not_run = "") {
+    void written(CallId call) { step({CallSent{call}, CallWritten{call}}); }
+    void respond(CallId call, int status, const std::string& bytes = "", const std::string& not_run = "") {
         http::Headers headers;
         if (!not_run.empty()) headers.add("X-Unprocessed", not_run);
         written(call);
-        give({CallHead{call, status, headers}, CallBody{call, bytes}, CallDone{call}});
+        step({CallHead{call, status, headers}, CallBody{call, bytes}, CallDone{call}});
     }
-    // Asks, and takes it through the read.
-    CallId to_decode(const std::string& cls = "chat") {
-        get(platform_text::post("9b1f", cls));
+    // Sends a request and completes its prefill. Returns the call of the decode attempt that follows.
+    CallId advance_to_decode(const std::string& cls = "chat") {
+        receive(platform_text::post("9b1f", cls));
         EXPECT_EQ(sent().size(), 1U);
         now += 20ms;
-        answer(sent().back().call, 202, R"({"cached_tokens":40})");
+        respond(sent().back().call, 202, R"({"cached_tokens":40})");
         EXPECT_EQ(sent().size(), 2U);
         return sent().back().call;
     }
--- a/tests/core/platform_edge_test.cpp
+++ b/tests/core/platform_edge_test.cpp
@@ -1,4 +1,4 @@
-// A request's life on the users' platform: the same core as with vLLM's protocol, another protocol.
+// Tests the lifecycle of a request on the users' platform.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -10,7 +10,7 @@
 
 TEST(PlatformEdge, PrefillsThenForwardsAStreamUnchanged) {
     Platform d;
-    const auto write = d.to_decode();
+    const auto decode = d.advance_to_decode();
     const auto sent = d.sent();
     EXPECT_EQ(sent[0].server[0], 'r');
     EXPECT_EQ(sent[1].server[0], 'w');
@@ -20,228 +20,229 @@
         EXPECT_EQ(call.headers.get("x-correlation-id"), "9b1f");
         EXPECT_FALSE(call.headers.get("x-time-left").empty());
     }
-    d.written(write);
-    d.give({CallHead{write, 200, {}}});
-    d.body(write, kEvent.substr(0, 9));
-    EXPECT_EQ(d.streams_begun, 0);  // no event of it is whole
-    d.body(write, kEvent.substr(9) + kDoneEvent);
-    EXPECT_EQ(d.streams_ended, 0);  // it may still be spoilt
-    d.give({CallDone{write}});
+    d.written(decode);
+    d.step({CallHead{decode, 200, {}}});
+    d.body(decode, kEvent.substr(0, 9));
+    EXPECT_EQ(d.streams_begun, 0);  // no complete event yet
+    d.body(decode, kEvent.substr(9) + kDoneEvent);
+    EXPECT_EQ(d.streams_ended, 0);  // it may still turn out malformed
+    d.step({CallDone{decode}});
     EXPECT_EQ(d.streamed, kEvent + kDoneEvent);
     EXPECT_EQ(d.streams_ended, 1);
     EXPECT_TRUE(d.releases().empty());
-    expect_empty(d);
+    expect_no_open_work(d);
 }
 
-TEST(PlatformEdge, BrokenStreamIsAbortedWithoutItsEnd) {
+TEST(PlatformEdge, BrokenStreamIsAbortedWithoutAStreamEnd) {
     Platform d;
-    const auto write = d.to_decode();
-    d.written(write);
-    d.give({CallHead{write, 200, {}}});
-    d.body(write, kEvent);
-    d.give({CallFailed{write, engine::ExchangeEnd::connection_closed, ""}});
+    const auto decode = d.advance_to_decode();
+    d.written(decode);
+    d.step({CallHead{decode, 200, {}}});
+    d.body(decode, kEvent);
+    d.step({CallFailed{decode, engine::ExchangeEnd::connection_closed, ""}});
     EXPECT_EQ(d.streamed, kEvent);
     EXPECT_EQ(d.streams_ended, 0);
     EXPECT_EQ(d.streams_aborted, 1);
-    expect_empty(d);
+    expect_no_open_work(d);
 }
 
-// A second request of one id can't be told from the first at the servers: the first goes on.
-TEST(PlatformEdge, IdOfAnOpenRequestIsRejectedUntilThatIsOver) {
+// Servers cannot distinguish a second request with the same id from the first. The first continues.
+TEST(PlatformEdge, DuplicateIdIsRejectedWhileTheFirstRequestIsOpen) {
     Platform d;
-    const auto write = d.to_decode();
-    d.get(platform_text::post("9b1f"), 2);
-    ASSERT_EQ(d.replies.size(), 1U);
-    EXPECT_EQ(d.replies[0].status, 409);
+    const auto decode = d.advance_to_decode();
+    d.receive(platform_text::post("9b1f"), 2);
+    ASSERT_EQ(d.responses.size(), 1U);
+    EXPECT_EQ(d.responses[0].status, 409);
     EXPECT_EQ(d.sent().size(), 2U);
-    d.answer(write, 200, kEvent + kDoneEvent);
-    d.get(platform_text::post("9b1f"), 3);
+    d.respond(decode, 200, kEvent + kDoneEvent);
+    d.receive(platform_text::post("9b1f"), 3);
     EXPECT_EQ(d.sent().size(), 3U);
 }
 
-TEST(PlatformEdge, BadRequestsAreAnsweredAndNeverForwarded) {
+TEST(PlatformEdge, InvalidRequestsAreRejectedAndNeverForwarded) {
     Platform d;
     for (const auto& bad : {platform_text::post(""), platform_text::post("a", "nobody"),
                             platform_text::post("a", "chat", "", "never")}) {
-        d.get(bad);
-        EXPECT_EQ(d.replies.back().status, 400);
+        d.receive(bad);
+        EXPECT_EQ(d.responses.back().status, 400);
     }
     EXPECT_TRUE(d.calls.empty());
-    expect_empty(d);
+    expect_no_open_work(d);
 }
 
-// "once" goes again only if the last byte of no writer attempt went out, or the server says so.
-TEST(PlatformEdge, NonIdempotentIsRetriedOnlyIfProvedNotToHaveRun) {
-    for (const bool whole : {false, true}) {
+// A non-idempotent request is retried only if no decode attempt was fully written, or the server reports that
+// it did not run.
+TEST(PlatformEdge, NonIdempotentRequestIsRetriedOnlyIfProvedNotToHaveRun) {
+    for (const bool fully_written : {false, true}) {
         Platform d;
-        const auto write = d.to_decode("order");
-        d.give({CallSent{write}});
-        if (whole) d.give({CallWritten{write}});
-        d.give({CallFailed{write, engine::ExchangeEnd::connection_closed, ""}});
-        EXPECT_EQ(d.sent().size(), whole ? 2U : 3U);
-        EXPECT_EQ(d.replies.size(), whole ? 1U : 0U);
-        if (whole) {
-            EXPECT_EQ(d.replies[0].status, 502);
+        const auto decode = d.advance_to_decode("order");
+        d.step({CallSent{decode}});
+        if (fully_written) d.step({CallWritten{decode}});
+        d.step({CallFailed{decode, engine::ExchangeEnd::connection_closed, ""}});
+        EXPECT_EQ(d.sent().size(), fully_written ? 2U : 3U);
+        EXPECT_EQ(d.responses.size(), fully_written ? 1U : 0U);
+        if (fully_written) {
+            EXPECT_EQ(d.responses[0].status, 502);
         }
     }
     Platform d;
-    d.answer(d.to_decode("order"), 503, "", "1");
+    d.respond(d.advance_to_decode("order"), 503, "", "1");
     EXPECT_EQ(d.sent().size(), 3U);
 }
 
-// What is held is let go of by one call for the whole request, at another server if the first does not
-// answer.
-TEST(PlatformEdge, UnwantedStateIsReleasedThroughAServerThatAnswers) {
+// One call releases everything held for the request; if the first server does not respond, others are called.
+TEST(PlatformEdge, UnneededStateIsReleasedThroughARespondingServer) {
     Platform d;
-    const auto write = d.to_decode("order");
-    d.written(write);
-    d.give({CallFailed{write, engine::ExchangeEnd::connection_closed, ""}});
+    const auto decode = d.advance_to_decode("order");
+    d.written(decode);
+    d.step({CallFailed{decode, engine::ExchangeEnd::connection_closed, ""}});
     ASSERT_EQ(d.releases().size(), 1U);
     EXPECT_EQ(d.releases()[0].method, "DELETE");
     EXPECT_EQ(d.releases()[0].target, "/kv/leases/9b1f");
-    d.pass(100ms);  // silence: two others are asked
+    d.advance_time(100ms);  // no response: two other servers are called
     ASSERT_EQ(d.releases().size(), 3U);
     EXPECT_NE(d.releases()[1].server, d.releases()[0].server);
     EXPECT_NE(d.releases()[2].server, d.releases()[0].server);
     EXPECT_NE(d.releases()[2].server, d.releases()[1].server);
     EXPECT_TRUE(d.was_aborted(d.releases()[0].call));
-    d.answer(d.releases()[1].call, 204);
-    d.pass(2s);
+    d.respond(d.releases()[1].call, 204);
+    d.advance_time(2s);
     EXPECT_EQ(d.releases().size(), 3U);
 }
 
-// A read may have ended well at the moment at which it broke. While it is read anew nothing is let go of: the
-// call would take the new state too.
+// A prefill may have completed when its connection broke. While it is repeated nothing is released, as the
+// call would release the new KV state too.
 TEST(PlatformEdge, BrokenPrefillIsReleasedOnlyOnceNoAttemptIsInFlight) {
     Platform d;
-    d.get(platform_text::post("9b1f"));
-    const auto read = d.sent().back().call;
-    d.written(read);
-    d.give({CallFailed{read, engine::ExchangeEnd::connection_closed, ""}});
-    ASSERT_EQ(d.sent().size(), 2U);  // read anew
+    d.receive(platform_text::post("9b1f"));
+    const auto prefill = d.sent().back().call;
+    d.written(prefill);
+    d.step({CallFailed{prefill, engine::ExchangeEnd::connection_closed, ""}});
+    ASSERT_EQ(d.sent().size(), 2U);  // the repeated prefill
     EXPECT_TRUE(d.releases().empty());
-    d.give({ClientClosed{{1}}});
-    d.give({CallSent{d.sent()[1].call},
+    d.step({ClientClosed{{1}}});
+    d.step({CallSent{d.sent()[1].call},
             CallFailed{d.sent()[1].call, engine::ExchangeEnd::connection_closed, ""}});
     EXPECT_EQ(d.releases().size(), 1U);
 }
 
-// The read has run, whatever its answer looks like.
-TEST(PlatformEdge, PrefillWithMalformedAnswerIsReleased) {
+// The prefill has run although its response is malformed.
+TEST(PlatformEdge, PrefillWithMalformedResponseIsReleased) {
     Platform d;
-    d.get(platform_text::post("9b1f"));
+    d.receive(platform_text::post("9b1f"));
     d.written(d.sent()[0].call);
-    d.give({CallFailed{d.sent()[0].call, engine::ExchangeEnd::malformed_response, "noise"}});
-    d.give({ClientClosed{{1}}});
-    d.give({CallFailed{d.sent().back().call, engine::ExchangeEnd::dial_failed, ""}});
+    d.step({CallFailed{d.sent()[0].call, engine::ExchangeEnd::malformed_response, "noise"}});
+    d.step({ClientClosed{{1}}});
+    d.step({CallFailed{d.sent().back().call, engine::ExchangeEnd::dial_failed, ""}});
     EXPECT_EQ(d.releases().size(), 1U);
-    expect_empty(d);
+    expect_no_open_work(d);
 }
 
-TEST(PlatformEdge, BodiesInSumAreBoundedAndFreed) {
+TEST(PlatformEdge, TotalBodySizeIsLimitedAndBodiesAreFreed) {
     auto settings =
         platform_settings(platform::parse_configuration(platform_text::configuration_text(), {}).value());
-    settings.limits.request_bytes = 60;  // one body has 43
+    settings.limits.request_bytes = 60;  // one body has 43 bytes
     Platform d(settings);
     for (int i = 0; i < 3; ++i) {
-        const auto before = d.replies.size();
-        const auto write = d.to_decode();
-        d.get(platform_text::post("other"), 2);
-        ASSERT_EQ(d.replies.size(), before + 1);
-        EXPECT_EQ(d.replies.back().status, 503);
-        d.answer(write, 200, kEvent + kDoneEvent);
+        const auto before = d.responses.size();
+        const auto decode = d.advance_to_decode();
+        d.receive(platform_text::post("other"), 2);
+        ASSERT_EQ(d.responses.size(), before + 1);
+        EXPECT_EQ(d.responses.back().status, 503);
+        d.respond(decode, 200, kEvent + kDoneEvent);
         d.calls.clear();
     }
 }
 
 TEST(PlatformEdge, ServerIsForgottenOnceNoCallToItIsInFlight) {
     Platform d;
-    const auto write = d.to_decode();
+    const auto decode = d.advance_to_decode();
     auto removed = listed(d.sent().back().server, "writer", EndpointState::removed);
-    d.written(write);
+    d.written(decode);
     d.list({removed}, EndpointUpdateKind::delta);
-    EXPECT_TRUE(d.forgotten.empty());  // its stream may still come
-    d.give({CallHead{write, 200, {}}, CallBody{write, kEvent + kDoneEvent}, CallDone{write}});
+    EXPECT_TRUE(d.forgotten.empty());  // its stream may still begin
+    d.step({CallHead{decode, 200, {}}, CallBody{decode, kEvent + kDoneEvent}, CallDone{decode}});
     EXPECT_EQ(d.streams_ended, 1);
     d.list({listed("r9", "reader")}, EndpointUpdateKind::delta);
     EXPECT_EQ(d.forgotten, std::vector{removed.endpoint.id.value});
 }
 
-TEST(PlatformEdge, ReadyUntilItDrains) {
+TEST(PlatformEdge, ReadyUntilDraining) {
     Platform d;
-    d.get("GET /ready HTTP/1.1\r\n\r\n");
-    EXPECT_EQ(d.replies.back().status, 200);
-    d.give({DrainStarted{}});
-    d.get("GET /ready HTTP/1.1\r\n\r\n");
-    EXPECT_EQ(d.replies.back().status, 503);
-    d.get(platform_text::post("9b1f"));
-    EXPECT_EQ(d.replies.back().status, 503);
-    EXPECT_EQ(d.replies.back().headers.get("connection"), "close");
+    d.receive("GET /ready HTTP/1.1\r\n\r\n");
+    EXPECT_EQ(d.responses.back().status, 200);
+    d.step({DrainStarted{}});
+    d.receive("GET /ready HTTP/1.1\r\n\r\n");
+    EXPECT_EQ(d.responses.back().status, 503);
+    d.receive(platform_text::post("9b1f"));
+    EXPECT_EQ(d.responses.back().status, 503);
+    EXPECT_EQ(d.responses.back().headers.get("connection"), "close");
 }
 
-// Guards against connections that are ended without a word at the shutdown's limit: who waits, for a read, a
-// writer or room, gets an answer, and who reads a stream its cut. What is held is released.
-TEST(PlatformEdge, EveryRequestIsAnsweredAtTheShutdownsLimit) {
+// Guards against connections that are closed without a response at the shutdown's time limit. Waiting clients
+// get an error response, streaming clients an aborted stream, and held KV states are released.
+TEST(PlatformEdge, EveryRequestIsAnsweredWhenTheDrainExpires) {
     Platform d;
-    const auto stream = d.to_decode();
+    const auto stream = d.advance_to_decode();
     d.written(stream);
-    d.give({CallHead{stream, 200, {}}});
+    d.step({CallHead{stream, 200, {}}});
     d.body(stream, kEvent);
-    d.get(platform_text::post("9b20"), 2);  // is being read
+    d.receive(platform_text::post("9b20"), 2);  // its prefill is in flight
     d.written(d.sent().back().call);
-    d.get(platform_text::post("9b21", "order"), 3);  // is with a writer
-    d.answer(d.sent().back().call, 202, R"({"cached_tokens":40})");
+    d.receive(platform_text::post("9b21", "order"), 3);  // its decode is in flight
+    d.respond(d.sent().back().call, 202, R"({"cached_tokens":40})");
     d.written(d.sent().back().call);
-    d.give({DrainStarted{}, DrainExpired{}});
+    d.step({DrainStarted{}, DrainExpired{}});
     EXPECT_EQ(d.streams_aborted, 1);
-    ASSERT_EQ(d.replies.size(), 2U);
-    EXPECT_EQ(d.replies[0].client, ClientId{2});
-    EXPECT_EQ(d.replies[1].client, ClientId{3});
+    ASSERT_EQ(d.responses.size(), 2U);
+    EXPECT_EQ(d.responses[0].client, ClientId{2});
+    EXPECT_EQ(d.responses[1].client, ClientId{3});
     for (const auto& r : d.requests) EXPECT_EQ(r.reason, observe::TerminationReason::drain_expired);
     EXPECT_EQ(d.requests.size(), 3U);
-    for (const auto& call : d.releases()) d.answer(call.call, 204);
+    for (const auto& call : d.releases()) d.respond(call.call, 204);
     EXPECT_FALSE(d.releases().empty());
-    expect_empty(d);
+    expect_no_open_work(d);
 }
 
-// What is taken shortly before the end must not be found unanswered by it.
-TEST(PlatformEdge, AnswersBeforeItsEndWhatItStillAccepts) {
+// A request accepted shortly before the shutdown must be answered before the process ends.
+TEST(PlatformEdge, RequestAcceptedDuringShutdownIsAnsweredByTheDeadline) {
     Platform d;
-    d.give({ShutdownAnnounced{d.now + 900ms}});
-    d.get(platform_text::post("9b1f"));
+    d.step({ShutdownAnnounced{d.now + 900ms}});
+    d.receive(platform_text::post("9b1f"));
     ASSERT_EQ(d.sent().size(), 1U);
     d.written(d.sent()[0].call);
-    d.pass(1s);  // the reader says nothing
-    EXPECT_EQ(d.replies.size(), 1U);
+    d.advance_time(1s);  // the reader does not respond
+    EXPECT_EQ(d.responses.size(), 1U);
 }
 
-// The kill would find its stream unanswered, which loses it: its client asks another gateway for the rest.
-TEST(PlatformEdge, MigratesAStreamAcceptedShortlyBeforeItsEnd) {
+// The stream would be lost when the process is killed. It is broken before, so that its client requests the
+// rest from another gateway.
+TEST(PlatformEdge, StreamAcceptedDuringShutdownIsMigrated) {
     Platform d;
-    d.give({ShutdownAnnounced{d.now + 900ms}});
-    const auto write = d.to_decode();
-    d.written(write);
-    d.give({CallHead{write, 200, {}}});
-    d.body(write, kEvent);
-    d.pass(1s);
+    d.step({ShutdownAnnounced{d.now + 900ms}});
+    const auto decode = d.advance_to_decode();
+    d.written(decode);
+    d.step({CallHead{decode, 200, {}}});
+    d.body(decode, kEvent);
+    d.advance_time(1s);
     EXPECT_EQ(d.streams_aborted, 1);
     EXPECT_EQ(d.streams_ended, 0);
-    EXPECT_TRUE(d.was_aborted(write));
-    expect_empty(d);
+    EXPECT_TRUE(d.was_aborted(decode));
+    expect_no_open_work(d);
 }
 
-TEST(PlatformEdge, RejectionSaysWhenToRetry) {
+TEST(PlatformEdge, RejectionHasARetryAfterHeader) {
     Platform d;
-    d.list({});  // nothing to send to: held until the aim, then refused
-    d.get(platform_text::post("9b1f"));
-    d.pass(4s);
-    ASSERT_EQ(d.replies.size(), 1U);
-    EXPECT_EQ(d.replies[0].status, 503);
-    EXPECT_EQ(d.replies[0].headers.get("retry-after"), "0.500");
+    d.list({});  // no servers: the request is queued until its aim, then rejected
+    d.receive(platform_text::post("9b1f"));
+    d.advance_time(4s);
+    ASSERT_EQ(d.responses.size(), 1U);
+    EXPECT_EQ(d.responses[0].status, 503);
+    EXPECT_EQ(d.responses[0].headers.get("retry-after"), "0.500");
 }
 
-// New servers with new ids replace the old ones all day.
-TEST(PlatformEdge, NothingOfRemovedServersStays) {
+// Deployments replace servers continually by servers with new ids.
+TEST(PlatformEdge, NoStateOfRemovedServersRemains) {
     Platform d;
     std::vector<std::string> now = {"r1", "w1"};
     d.list({listed("r1", "reader"), listed("w1", "writer")});
@@ -253,18 +254,18 @@
                EndpointUpdateKind::delta);
         now = next;
         d.calls.clear();
-        d.answer(d.to_decode(), 200, kEvent + kDoneEvent);
+        d.respond(d.advance_to_decode(), 200, kEvent + kDoneEvent);
     }
     EXPECT_EQ(d.streams_ended, 200);
     EXPECT_EQ(d.edge.endpoints().size(), 2U);
-    EXPECT_EQ(d.forgotten.size(), 402U);  // and the two of the usual list
-    d.pass(10s);
+    EXPECT_EQ(d.forgotten.size(), 402U);  // including two of the default list
+    d.advance_time(10s);
     EXPECT_EQ(d.edge.gauges().calls, 0U);
-    expect_empty(d);
+    expect_no_open_work(d);
 }
 
-// Back from nothing, with a list that may be old: what drains gets nothing, what has just started no crowd.
-TEST(PlatformEdge, CachedListKeepsDrainsAndSlowStartBudgets) {
+// After a restart with a cached list, draining servers get no requests and newly started ones few.
+TEST(PlatformEdge, CachedListRespectsDrainingAndSlowStart) {
     for (const bool slow_start : {true, false}) {
         Platform d;
         auto writer = listed("w2", "writer");
@@ -272,34 +273,35 @@
         d.list({listed("r1", "reader"), listed("r2", "reader", EndpointState::draining),
                 listed("w1", "writer", EndpointState::draining), writer},
                EndpointUpdateKind::cached_snapshot);
-        for (std::uint64_t i = 0; i < 30; ++i) d.get(platform_text::post("id" + std::to_string(i)), i + 1);
+        for (std::uint64_t i = 0; i < 30; ++i)
+            d.receive(platform_text::post("id" + std::to_string(i)), i + 1);
         for (std::size_t i = 0; i < d.sent().size(); ++i)
-            if (d.sent()[i].server == "r1") d.answer(d.sent()[i].call, 202);
-        int writes = 0;
+            if (d.sent()[i].server == "r1") d.respond(d.sent()[i].call, 202);
+        int decodes = 0;
         for (const auto& call : d.sent()) {
             EXPECT_TRUE(call.server == "r1" || call.server == "w2") << call.server;
-            writes += call.server == "w2" ? 1 : 0;
+            decodes += call.server == "w2" ? 1 : 0;
         }
-        // Of what a warm one bears nothing is known yet: one at most.
-        EXPECT_TRUE(slow_start ? writes <= 1 : writes == 30) << writes;
+        // The capacity of a warm server is not known yet, so a starting one gets at most one request.
+        EXPECT_TRUE(slow_start ? decodes <= 1 : decodes == 30) << decodes;
     }
 }
 
-// Guards against a state that waits while its attempt's connection does not come up, or its bytes queue: the
-// time to release goes on, so the attempt is called off and the state released within the settings' time.
+// Guards against a KV state that is held while its attempt's connection is not established, or its bytes are
+// queued. The time until the release keeps running: the attempt is cancelled and the state released in time.
 TEST(PlatformEdge, StateIsReleasedWhileNoConnectionIsEstablished) {
     auto settings =
         platform_settings(platform::parse_configuration(platform_text::configuration_text(), {}).value());
     settings.router.release_within = 200ms;
-    for (const bool there : {false, true}) {
+    for (const bool fully_written : {false, true}) {
         Platform d(settings);
-        const auto write = d.to_decode();
-        d.give({CallSent{write}});  // a part of it may be out: it has not come before its last byte
-        if (there) d.written(write);
-        d.pass(210ms);
-        EXPECT_EQ(d.was_aborted(write), !there);
+        const auto decode = d.advance_to_decode();
+        d.step({CallSent{decode}});  // it can arrive only once its last byte is written
+        if (fully_written) d.written(decode);
+        d.advance_time(210ms);
+        EXPECT_EQ(d.was_aborted(decode), !fully_written);
         EXPECT_EQ(d.releases().size(), 1U);
-        EXPECT_EQ(d.replies.size(), 0U);  // the request goes on
+        EXPECT_EQ(d.responses.size(), 0U);  // the request stays open
         EXPECT_EQ(d.edge.gauges().open_requests, 1U);
     }
 }
--- a/tests/core/platform_repeat_test.cpp
+++ b/tests/core/platform_repeat_test.cpp
@@ -1,4 +1,5 @@
-// What may still begin when its connection is ready, and what may be repeated, on the users' platform.
+// Tests which attempts may still begin once their connection is ready, and which may be repeated, on the
+// users' platform.
 #include <gtest/gtest.h>
 
 #include "core/platform_driver.hpp"
@@ -6,14 +7,14 @@
 namespace chalksail::core::testing {
 namespace {
 
-// ---- the last look before the first byte ----
+// ---- the check before the first byte ----
 
 http::Headers headers_of(const Call& call) { return call.headers; }
 
-// Guards against a time told to a server that was right when the attempt was decided on, before its dial.
-TEST(PlatformEdge, TimeLeftHeaderIsThatOfTheFirstByte) {
+// Guards against a time header that was computed before the connection was established and is out of date.
+TEST(PlatformEdge, TimeLeftHeaderIsComputedAtTheFirstByte) {
     Platform d;
-    d.get(platform_text::post("9b1f"));
+    d.receive(platform_text::post("9b1f"));
     const auto call = d.sent().back();
     const auto at_decision = platform::parse_time_remaining(call.headers.get("x-time-left"));
     auto headers = headers_of(call);
@@ -22,30 +23,30 @@
     EXPECT_EQ(headers.all().size(), call.headers.all().size());
 }
 
-TEST(PlatformEdge, NothingBeginsPastTheDeadlineOrForADisconnectedClient) {
+TEST(PlatformEdge, NoAttemptBeginsAfterTheDeadlineOrForADisconnectedClient) {
     Platform d;
-    d.get(platform_text::post("9b1f"));
+    d.receive(platform_text::post("9b1f"));
     const auto call = d.sent().back();
     auto headers = headers_of(call);
     EXPECT_FALSE(d.edge.may_begin(d.now + 4s, call.call, headers));
-    d.give({ClientClosed{{1}}});
+    d.step({ClientClosed{{1}}});
     EXPECT_FALSE(d.edge.may_begin(d.now, call.call, headers));
-    expect_empty(d);
+    expect_no_open_work(d);
 }
 
-// What is kept back tells nothing of its server, and is answered: refused if nothing of it can have run.
-TEST(PlatformEdge, WithheldAttemptIsAnsweredAndNoServersFault) {
+// An expired attempt says nothing about its server. The request is rejected, as it cannot have run.
+TEST(PlatformEdge, ExpiredAttemptIsRejectedWithoutBlamingTheServer) {
     Platform d;
-    d.get(platform_text::post("9b1f"));
-    d.give({CallFailed{d.sent().back().call, engine::ExchangeEnd::expired, ""}});
-    ASSERT_EQ(d.replies.size(), 1U);
-    EXPECT_EQ(d.replies[0].status, 503);
+    d.receive(platform_text::post("9b1f"));
+    d.step({CallFailed{d.sent().back().call, engine::ExchangeEnd::expired, ""}});
+    ASSERT_EQ(d.responses.size(), 1U);
+    EXPECT_EQ(d.responses[0].status, 503);
     EXPECT_EQ(d.attempts.back().outcome, "moot");
-    expect_empty(d);
+    expect_no_open_work(d);
 }
 
-// Guards against a repeat that is decided on inside the window and written after it.
-TEST(PlatformEdge, DeduplicationWindowCountsAtTheFirstByte) {
+// Guards against a repeated attempt that is decided within the deduplication window and written after it.
+TEST(PlatformEdge, DeduplicationWindowIsCheckedAtTheFirstByte) {
     std::string text = platform_text::configuration_text();
     const std::string once =
         R"("effect":"once","gain":3.0,"group":"all","late_worth":0.2,"name":"order","streamed":true,"window_ns":0)";
@@ -55,57 +56,57 @@
         at, once.size(),
         R"("effect":"by_key","gain":3.0,"group":"all","late_worth":0.2,"name":"order","streamed":true,"window_ns":600000000)");
     Platform d(text);
-    const auto first = d.to_decode("order");
+    const auto first = d.advance_to_decode("order");
     d.written(first);
     const Time begun = d.now;
     d.now += 50ms;
-    d.give({CallFailed{first, engine::ExchangeEnd::connection_closed, ""}});
-    ASSERT_EQ(d.sent().size(), 3U);  // sent again: read anew, or written
+    d.step({CallFailed{first, engine::ExchangeEnd::connection_closed, ""}});
+    ASSERT_EQ(d.sent().size(), 3U);  // repeated as a prefill or as a decode
     const auto again = d.sent().back();
     auto headers = headers_of(again);
     EXPECT_TRUE(d.edge.may_begin(begun + 500ms, again.call, headers));
     EXPECT_FALSE(d.edge.may_begin(begun + 600ms, again.call, headers));
 }
 
-// Each way in which a write may end, with none, a part and all of the request out: a `once` request goes
-// again if and only if its last byte is not out, or the server says that it did not run.
-enum class Out { none, part, all };
-using EndOfWrite = std::tuple<engine::ExchangeEnd, Out>;
-class NonIdempotentDecode : public ::testing::TestWithParam<EndOfWrite> {};
+// How much of a decode attempt was written before it ended. A non-idempotent request is retried if and only
+// if the last byte was not written, or the server reports that it did not run.
+enum class Written { none, part, all };
+using DecodeEnd = std::tuple<engine::ExchangeEnd, Written>;
+class NonIdempotentDecode : public ::testing::TestWithParam<DecodeEnd> {};
 TEST_P(NonIdempotentDecode, IsRetriedOnlyIfItsLastByteIsNotWritten) {
-    const auto [ending, out] = GetParam();
+    const auto [ending, written] = GetParam();
     Platform d;
-    const auto write = d.to_decode("order");
+    const auto decode = d.advance_to_decode("order");
     std::vector<Input> inputs;
-    // The end first: what went out counts all the same.
-    inputs.emplace_back(CallFailed{write, ending, ""});
-    if (out != Out::none) inputs.emplace_back(CallSent{write});
-    if (out == Out::all) inputs.emplace_back(CallWritten{write});
-    d.give(std::move(inputs));
-    const bool may_have_run = out == Out::all;
+    // The failure comes first in the step, but the written bytes must still count.
+    inputs.emplace_back(CallFailed{decode, ending, ""});
+    if (written != Written::none) inputs.emplace_back(CallSent{decode});
+    if (written == Written::all) inputs.emplace_back(CallWritten{decode});
+    d.step(std::move(inputs));
+    const bool may_have_run = written == Written::all;
     EXPECT_EQ(d.sent().size(), may_have_run ? 2U : 3U);
-    ASSERT_EQ(d.replies.size(), may_have_run ? 1U : 0U);
-    if (!d.replies.empty()) {
-        EXPECT_EQ(d.replies[0].status, 502);
+    ASSERT_EQ(d.responses.size(), may_have_run ? 1U : 0U);
+    if (!d.responses.empty()) {
+        EXPECT_EQ(d.responses[0].status, 502);
     }
 }
 INSTANTIATE_TEST_SUITE_P(Kinds, NonIdempotentDecode,
                          ::testing::Combine(::testing::Values(engine::ExchangeEnd::connection_closed,
                                                               engine::ExchangeEnd::dial_failed,
                                                               engine::ExchangeEnd::timed_out),
-                                            ::testing::Values(Out::none, Out::part, Out::all)));
+                                            ::testing::Values(Written::none, Written::part, Written::all)));
 
-class NonIdempotentEarlyAnswer : public ::testing::TestWithParam<std::tuple<int, bool>> {};
-TEST_P(NonIdempotentEarlyAnswer, IsProofOnlyBeforeTheLastByte) {
-    const auto [status, whole] = GetParam();
+class NonIdempotentEarlyResponse : public ::testing::TestWithParam<std::tuple<int, bool>> {};
+TEST_P(NonIdempotentEarlyResponse, IsRetriedOnlyBeforeTheLastByteIsWritten) {
+    const auto [status, fully_written] = GetParam();
     Platform d;
-    const auto write = d.to_decode("order");
-    d.give({CallSent{write}});
-    if (whole) d.give({CallWritten{write}});
-    d.give({CallHead{write, status, {}}, CallDone{write}});
-    EXPECT_EQ(d.sent().size(), whole ? 2U : 3U) << status;
+    const auto decode = d.advance_to_decode("order");
+    d.step({CallSent{decode}});
+    if (fully_written) d.step({CallWritten{decode}});
+    d.step({CallHead{decode, status, {}}, CallDone{decode}});
+    EXPECT_EQ(d.sent().size(), fully_written ? 2U : 3U) << status;
 }
-INSTANTIATE_TEST_SUITE_P(Kinds, NonIdempotentEarlyAnswer,
+INSTANTIATE_TEST_SUITE_P(Kinds, NonIdempotentEarlyResponse,
                          ::testing::Combine(::testing::Values(400, 404, 408, 413, 500, 503),
                                             ::testing::Bool()));
 }  // namespace
--- a/tests/core/reserved_kv_states_test.cpp
+++ b/tests/core/reserved_kv_states_test.cpp
@@ -1,5 +1,5 @@
-// What is held for requests and its releases, where a release covers one attempt (vLLM) and where it covers
-// the whole request (the platform).
+// Tests held KV states and their releases, both for releases that cover one attempt (vLLM) and for releases
+// that cover the whole request (the platform).
 #include "core/reserved_kv_states.hpp"
 
 #include <gtest/gtest.h>
@@ -45,7 +45,7 @@
     void release_pending(bool attempt_in_flight) {
         states->release_pending([&](RequestId) { return attempt_in_flight; }, now, output);
     }
-    // The servers of the release calls begun since the last time.
+    // Returns the servers of the release calls begun since the previous call of this function.
     std::vector<std::string> released_at() {
         std::vector<std::string> servers;
         for (const auto& effect : output.take_effects()) {
@@ -76,7 +76,7 @@
     PlatformReservedKvStatesTest() : ReservedKvStatesTest(config::ProtocolKind::platform) {}
 };
 
-TEST_F(ReservedKvStatesTest, AFinishedRequestReleasesWhatItHeldAtItsServer) {
+TEST_F(ReservedKvStatesTest, AFinishedRequestReleasesItsStateAtTheHoldingServer) {
     hold();
     EXPECT_EQ(states->held_count(), 1U);
     EXPECT_EQ(states->held_state(kRequest), "s");
@@ -99,9 +99,9 @@
     cancel_prefill();
     EXPECT_EQ(released_at(), std::vector<std::string>{"r1"});
     EXPECT_FALSE(states->holds_any(kRequest));
-    EXPECT_FALSE(states->defers_attempts(kRequest));  // it takes nothing from other attempts
+    EXPECT_FALSE(states->defers_attempts(kRequest));  // the release does not affect other attempts
     EXPECT_TRUE(fail_release(last_release));
-    EXPECT_TRUE(released_at().empty());  // no other server has it
+    EXPECT_TRUE(released_at().empty());  // no other server holds the state
 }
 
 TEST_F(ReservedKvStatesTest, AServerWithoutReleaseCallIsNotCalledAgain) {
@@ -141,22 +141,22 @@
     EXPECT_FALSE(states->has_deferred(kRequest));
 }
 
-TEST_F(PlatformReservedKvStatesTest, FailedReleasesWidenToOtherServersUpToTheLimit) {
+TEST_F(PlatformReservedKvStatesTest, FailedReleasesAreRepeatedAtMoreServersUpToTheLimit) {
     endpoints.record_activity("r2", now);
     cancel_prefill();
     release_pending(false);
-    EXPECT_EQ(released_at(), std::vector<std::string>{"r2"});  // active last
+    EXPECT_EQ(released_at(), std::vector<std::string>{"r2"});  // most recently active
     const CallId first = last_release;
     EXPECT_FALSE(fail_release(first));
     EXPECT_EQ(released_at(), (std::vector<std::string>{"r1", "w1"}));
-    EXPECT_TRUE(fail_release(last_release));  // not the leading one: no round of its own
+    EXPECT_TRUE(fail_release(last_release));  // not the leading call: starts no further round
     EXPECT_TRUE(released_at().empty());
 }
 
-TEST_F(PlatformReservedKvStatesTest, AReleaseBesideAnAttemptTellsTheRouterAndStaysPending) {
+TEST_F(PlatformReservedKvStatesTest, AReleaseDuringAnAttemptNotifiesTheRouterAndStaysPending) {
     hold();
     (void)output.take_events();
-    states->release_beside_attempt(kRequest, observe::ReleaseReason::decided, now + 1s, output);
+    states->release_during_attempt(kRequest, observe::ReleaseReason::decided, now + 1s, output);
     const auto events = output.take_events();
     ASSERT_EQ(events.size(), 1U);
     EXPECT_TRUE(std::holds_alternative<KvStateReleased>(events[0]));
--- a/tests/core/shutdown_test.cpp
+++ b/tests/core/shutdown_test.cpp
@@ -22,9 +22,9 @@
 TEST(Shutdown, ExitsOnceNothingIsOutstandingAndNotBefore) {
     Shutdown shutdown(kNow, limits(300ms, config::kNoLimit));
     EXPECT_EQ(shutdown.next(kNow + 299ms), Step::wait);
-    EXPECT_FALSE(shutdown.over(kNow + 299ms, kNothing));  // requests are still taken
+    EXPECT_FALSE(shutdown.over(kNow + 299ms, kNothing));  // requests are still accepted
     EXPECT_EQ(shutdown.next(kNow + 300ms), Step::stop_accepting);
-    EXPECT_EQ(shutdown.next(kNow + 300ms), Step::wait);  // once
+    EXPECT_EQ(shutdown.next(kNow + 300ms), Step::wait);  // each step is returned once
     const Time late = kNow + 24h;
     EXPECT_EQ(shutdown.next(late), Step::wait);
     EXPECT_FALSE(shutdown.over(late, {.requests = 1}));
@@ -34,7 +34,7 @@
     EXPECT_TRUE(shutdown.over(late, kNothing));
 }
 
-TEST(Shutdown, AnswersAllAtItsLimitBeforeItClosesConnections) {
+TEST(Shutdown, AnswersAllRequestsAtTheLimitBeforeClosingConnections) {
     Shutdown shutdown(kNow, limits(0ms, 5s));
     EXPECT_EQ(shutdown.next(kNow), Step::stop_accepting);
     EXPECT_EQ(shutdown.next(kNow + 4999ms), Step::wait);
@@ -44,7 +44,7 @@
     EXPECT_EQ(shutdown.next(kNow + 5s), Step::end_connections);
     EXPECT_EQ(shutdown.next(kNow + 5s), Step::wait);
     EXPECT_FALSE(shutdown.over(kNow + 5s, {.connections = 1}));
-    EXPECT_TRUE(shutdown.over(kNow + 6s, {.connections = 1}));  // its other end has had its time
+    EXPECT_TRUE(shutdown.over(kNow + 6s, {.connections = 1}));  // the linger time has passed
 }
 
 }  // namespace
--- a/tests/core/upstream_calls_test.cpp
+++ b/tests/core/upstream_calls_test.cpp
@@ -1,4 +1,4 @@
-// Calls in flight, their timers, and what the end of an attempt proves.
+// Tests calls in flight, their timers, and the classification of ended attempts.
 #include "core/upstream_calls.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 
 constexpr Time kNow{1000s};
 
-TEST(UpstreamCalls, BeginEmitsTheCallAndEndTakesItOutWithItsTimer) {
+TEST(UpstreamCalls, BeginEmitsTheCallAndEndRemovesItWithItsTimer) {
     UpstreamCalls calls;
     StepOutput output;
     UpstreamCall& call = calls.begin(CallKind::health_check, listed("r1", "reader"),
@@ -31,7 +31,7 @@
     EXPECT_EQ(calls.count(), 0U);
 }
 
-TEST(UpstreamCalls, DueTimersComeOnceAndLeaveTheCallInFlight) {
+TEST(UpstreamCalls, DueTimersFireOnceAndLeaveTheCallInFlight) {
     UpstreamCalls calls;
     StepOutput output;
     UpstreamCall& call = calls.begin(CallKind::release, listed("r1", "reader"), {}, 0, kNow, output);
@@ -42,7 +42,7 @@
     EXPECT_EQ(calls.count(), 1U);
 }
 
-TEST(UpstreamCalls, OnlyAttemptsOfWhichNothingWasSentAreQueued) {
+TEST(UpstreamCalls, OnlyUnsentAttemptsAreQueued) {
     UpstreamCalls calls;
     StepOutput output;
     const CallId queued = calls.begin(CallKind::attempt, listed("r1", "reader"), {}, 0, kNow, output).id;
@@ -52,7 +52,7 @@
     EXPECT_EQ(calls.queued_attempts({"r1"}), std::vector<CallId>{queued});
 }
 
-TEST(UpstreamCalls, SendPhaseOnlyMovesOn) {
+TEST(UpstreamCalls, SendPhaseNeverGoesBack) {
     UpstreamCall call;
     EXPECT_FALSE(call.sent());
     call.advance(SendPhase::written);
@@ -61,7 +61,7 @@
     EXPECT_TRUE(call.written());
 }
 
-TEST(AttemptResult, WhatAnEndProves) {
+TEST(AttemptResult, ClassifiesWhatTheEndOfAnAttemptProves) {
     const auto edge_settings = settings();
     const auto protocol = make_protocol(edge_settings);
     UpstreamCall decode;
