--- a/src/core/active_requests.cpp
+++ b/src/core/active_requests.cpp
@@ -153,8 +153,8 @@
     requests_.erase(request.id.value);
 }
 
-void ActiveRequests::drop_body(ActiveRequest& request) {
-    request.parsed.protocol_session->drop_request();
+void ActiveRequests::free_body(ActiveRequest& request) {
+    request.parsed.protocol_session->free_attempt_data();
     body_bytes_ -= std::exchange(request.body_bytes, 0);
 }
 
--- a/src/core/active_requests.hpp
+++ b/src/core/active_requests.hpp
@@ -124,7 +124,7 @@
     void remove(ActiveRequest& request);
 
     // Frees the request's body. No further attempt may be sent after this.
-    void drop_body(ActiveRequest& request);
+    void free_body(ActiveRequest& request);
 
     // ---- timers: each request has at most one ----
 
--- a/src/core/attempt_runner.cpp
+++ b/src/core/attempt_runner.cpp
@@ -71,7 +71,7 @@
     if (request.migrate_at) check = std::min(check, *request.migrate_at);
     if (!request.streams()) check = std::min(check, request.deadline);
     parts_.requests.set_timer(request, check);
-    parts_.requests.drop_body(request);
+    parts_.requests.free_body(request);
     if (request.streams())
         output.emit(BeginStream{request.client, request.parsed.protocol_session->stream_head()});
 }
--- a/src/core/edge.cpp
+++ b/src/core/edge.cpp
@@ -19,7 +19,7 @@
 // Maximum router steps within one step of the core, against endless loops; two or three are typical.
 constexpr int kMaxRouterRounds = 64;
 
-observe::EndpointListRecord record_of(const membership::EndpointList& list) {
+observe::EndpointListRecord make_list_record(const membership::EndpointList& list) {
     observe::EndpointListRecord record;
     record.kind = list.kind;
     record.generation = list.generation;
@@ -241,7 +241,7 @@
 // ---- endpoints ----
 
 void Edge::on(const membership::EndpointList& input) {
-    output_.record(record_of(input));
+    output_.record(make_list_record(input));
     const auto unavailable = parts_.endpoints.apply(input, now_, output_);
     parts_.cache_index.update_subscriptions(parts_.endpoints.all(), now_, output_);
     attempts_.withdraw_queued(unavailable, now_, output_);
--- a/src/core/platform_protocol.cpp
+++ b/src/core/platform_protocol.cpp
@@ -74,7 +74,7 @@
     void update_time_remaining(http::Headers& headers, Duration time_remaining) const override {
         headers.set(platform::kTimeRemainingHeader, platform::format_time_remaining(time_remaining));
     }
-    void drop_request() override { std::string().swap(body_); }
+    void free_attempt_data() override { std::string().swap(body_); }
 
     [[nodiscard]] double reported_prompt_tokens() const override {
         return reader_ ? reader_->prompt_tokens() : 0;
--- a/src/core/protocol.hpp
+++ b/src/core/protocol.hpp
@@ -89,7 +89,7 @@
     virtual void update_time_remaining(http::Headers&, Duration) const {}
     [[nodiscard]] virtual std::unique_ptr<DecodeResponseParser> decode_parser() = 0;
     // Frees the data that only attempts need. No further attempt may be sent after this.
-    virtual void drop_request() = 0;
+    virtual void free_attempt_data() = 0;
 
     // ---- token counts ----
 
--- a/src/core/request_completion.cpp
+++ b/src/core/request_completion.cpp
@@ -19,7 +19,7 @@
     parts_.requests.finish(request);
     const std::string& class_name = parts_.settings.router.classes[request.parsed.class_index].name;
     output.record(request.record(class_name, termination, status, reason, now));
-    parts_.requests.drop_body(request);
+    parts_.requests.free_body(request);
 }
 
 void RequestCompletion::remove_if_complete(ActiveRequest& request, Time now, StepOutput& output) {
--- a/src/core/request_intake.cpp
+++ b/src/core/request_intake.cpp
@@ -62,11 +62,11 @@
 
     ActiveRequest& added = parts_.requests.add(std::move(request));
     parts_.kv_states.track(added.id, added.parsed.name);
-    output.notify(arrival_of(added, now));
+    output.notify(make_arrival_event(added, now));
     parts_.requests.set_timer(added, added.deadline);
 }
 
-RequestArrived RequestIntake::arrival_of(const ActiveRequest& request, Time now) const {
+RequestArrived RequestIntake::make_arrival_event(const ActiveRequest& request, Time now) const {
     const ParsedRequest& parsed = request.parsed;
     RequestArrived arrived;
     arrived.id = request.id;
--- a/src/core/request_intake.hpp
+++ b/src/core/request_intake.hpp
@@ -28,7 +28,7 @@
     void start_request(ClientId client, ParsedRequest parsed, std::uint64_t number, std::size_t body_bytes,
                        Time now, StepOutput& output);
     // Returns the event that notifies the router of a new request.
-    [[nodiscard]] RequestArrived arrival_of(const ActiveRequest& request, Time now) const;
+    [[nodiscard]] RequestArrived make_arrival_event(const ActiveRequest& request, Time now) const;
 
     CoreParts& parts_;
     bool draining_ = false;
--- a/src/core/reserved_kv_states.cpp
+++ b/src/core/reserved_kv_states.cpp
@@ -20,7 +20,7 @@
 constexpr double kReleasePriority = std::numeric_limits<double>::max();
 // Rounds after the first call in which the number of servers called doubles: two, four and eight.
 constexpr std::int64_t kWideningRounds = 3;
-// Lower status codes mean success.
+// Status codes below this one mean success.
 constexpr int kFirstFailureStatus = 300;
 
 int calls_in_round(std::int64_t round) { return round <= kWideningRounds ? 1 << round : 1; }
--- a/src/core/reserved_kv_states.hpp
+++ b/src/core/reserved_kv_states.hpp
@@ -67,8 +67,8 @@
     [[nodiscard]] bool holds_state(RequestId id) const;
     // Returns true if a KV state is held or a release is pending.
     [[nodiscard]] bool holds_any(RequestId id) const;
-    // Returns the time of the release, unless an attempt is known to have reached a server before;
-    // std::nullopt if nothing is held.
+    // Returns the time at which the release is due unless a response proves before that an attempt has
+    // arrived; std::nullopt if nothing is held.
     [[nodiscard]] std::optional<Time> release_due(RequestId id) const;
     [[nodiscard]] std::size_t held_count() const { return held_count_; }
 
@@ -136,7 +136,7 @@
         observe::ReleaseReason reason = observe::ReleaseReason::none;
         Time held_since{};
         std::shared_ptr<ReleaseProgress> progress = nullptr;
-        bool starts_next_round = true;  // on failure; false for the other calls of a round
+        bool starts_next_round = true;  // if the call fails; true for one call of each round
     };
 
     [[nodiscard]] Entry* find(RequestId id);
--- a/src/core/vllm_protocol.cpp
+++ b/src/core/vllm_protocol.cpp
@@ -68,7 +68,7 @@
                 engine::decode_body(body, chat, state)};
     }
     [[nodiscard]] std::unique_ptr<DecodeResponseParser> decode_parser() override;
-    void drop_request() override {
+    void free_attempt_data() override {
         std::string().swap(body);
         std::vector<chat::Member>().swap(chat.members);
     }
@@ -122,8 +122,8 @@
     [[nodiscard]] ClientResponse failure(int status, const std::string& message,
                                          bool retryable) const override {
         auto headers = request_id_headers(name);
-        // OpenAI clients retry automatically after any 5xx status. A request that may have run and must not
-        // run twice has to prevent that.
+        // OpenAI clients retry automatically after any 5xx status. The header prevents this for a request
+        // that may have run and must not run twice.
         if (!retryable) headers.add("X-Should-Retry", "false");
         return error_response({status, message, "server_error", "", "failed"}, std::move(headers));
     }
--- a/tests/core/active_requests_test.cpp
+++ b/tests/core/active_requests_test.cpp
@@ -18,7 +18,7 @@
         return {};
     }
     [[nodiscard]] std::unique_ptr<DecodeResponseParser> decode_parser() override { return nullptr; }
-    void drop_request() override {}
+    void free_attempt_data() override {}
     [[nodiscard]] http::Headers stream_head() const override { return {}; }
     [[nodiscard]] std::optional<std::string> stream_error(int, const std::string&) const override {
         return std::nullopt;
@@ -73,7 +73,7 @@
     ActiveRequest& one = requests.add(request(1, 60));
     EXPECT_TRUE(requests.has_capacity(40));
     EXPECT_FALSE(requests.has_capacity(41));
-    requests.drop_body(one);
+    requests.free_body(one);
     EXPECT_TRUE(requests.has_capacity(100));
     requests.add(request(2, 0));
     EXPECT_FALSE(requests.has_capacity(0));
--- a/tests/core/platform_actions_test.cpp
+++ b/tests/core/platform_actions_test.cpp
@@ -36,8 +36,8 @@
         if (written) step({CallSent{call}, CallWritten{call}});
         router->seen.clear();
         router->next = {CancelAttempt{{1}, {0}}};
-        step(
-            {membership::EndpointList{EndpointUpdateKind::delta, {}}});  // any input, so that the policy acts
+        // Any input, so that the policy acts.
+        step({membership::EndpointList{EndpointUpdateKind::delta, {}}});
     }
     void step(std::vector<Input> inputs) {
         for (const auto& o : edge->step(now, std::move(inputs))) {
--- a/tests/core/platform_driver.hpp
+++ b/tests/core/platform_driver.hpp
@@ -31,8 +31,8 @@
         step({CallHead{call, status, headers}, CallBody{call, bytes}, CallDone{call}});
     }
     // Sends a request and completes its prefill. Returns the call of the decode attempt that follows.
-    CallId advance_to_decode(const std::string& cls = "chat") {
-        receive(platform_text::post("9b1f", cls));
+    CallId advance_to_decode(const std::string& class_name = "chat") {
+        receive(platform_text::post("9b1f", class_name));
         EXPECT_EQ(sent().size(), 1U);
         now += 20ms;
         respond(sent().back().call, 202, R"({"cached_tokens":40})");
--- a/tests/core/platform_release_test.cpp
+++ b/tests/core/platform_release_test.cpp
@@ -19,8 +19,8 @@
 }
 // A request whose decode attempt is fully written and has no response.
 struct UnansweredDecode : Platform {
-    explicit UnansweredDecode(const std::string& cls = "order", Duration time = 500ms)
-        : Platform(settings_with_release_within(time)), decode(advance_to_decode(cls)) {
+    explicit UnansweredDecode(const std::string& class_name = "order", Duration time = 500ms)
+        : Platform(settings_with_release_within(time)), decode(advance_to_decode(class_name)) {
         written(decode);
     }
     CallId decode;
--- a/tests/core/verification_test.cpp
+++ b/tests/core/verification_test.cpp
@@ -103,7 +103,7 @@
     expect_no_open_work(d);
 }
 
-TEST(Verification, ChangedTrustStoreVerifiesAllServersAtOnce) {
+TEST(Verification, ChangedTrustStoreVerifiesUnverifiedServersAtOnce) {
     Driver d(settings_with_backoff());
     d.list_default_servers();
     fail_verification(d, d.advance_to_decode());
