--- a/src/base/units.cpp
+++ b/src/base/units.cpp
@@ -9,20 +9,20 @@
 namespace chalksail {
 namespace {
 
-constexpr double kDurationMostNs = 3.2e16;  // a little over a year
-constexpr double kSizeMost = 1e15;          // bytes
+constexpr double kMaxDurationNs = 3.2e16;  // slightly over a year
+constexpr double kMaxSizeBytes = 1e15;
 
-// A number and the unit behind it.
-struct Split {
+// A number and the unit that follows it.
+struct Quantity {
     double number = 0;
     std::string_view unit;
 };
 
-std::optional<Split> split(std::string_view text) {
-    Split out;
-    const auto [end, why] =
+std::optional<Quantity> parse_quantity(std::string_view text) {
+    Quantity out;
+    const auto [end, error] =
         std::from_chars(text.data(), text.data() + text.size(), out.number, std::chars_format::fixed);
-    if (why != std::errc{} || !std::isfinite(out.number) || out.number < 0) return std::nullopt;
+    if (error != std::errc{} || !std::isfinite(out.number) || out.number < 0) return std::nullopt;
     out.unit = text.substr(static_cast<std::size_t>(end - text.data()));
     return out;
 }
@@ -30,31 +30,31 @@
 }  // namespace
 
 std::optional<Duration> parse_duration(std::string_view text) {
-    const auto parts = split(text);
-    if (!parts) return std::nullopt;
+    const auto quantity = parse_quantity(text);
+    if (!quantity) return std::nullopt;
     double factor = 0;
-    if (parts->unit == "us") factor = 1e3;
-    else if (parts->unit == "ms") factor = 1e6;
-    else if (parts->unit == "s") factor = 1e9;
-    else if (parts->unit == "m") factor = 60e9;
-    else if (parts->unit == "h") factor = 3600e9;
+    if (quantity->unit == "us") factor = 1e3;
+    else if (quantity->unit == "ms") factor = 1e6;
+    else if (quantity->unit == "s") factor = 1e9;
+    else if (quantity->unit == "m") factor = 60e9;
+    else if (quantity->unit == "h") factor = 3600e9;
     else return std::nullopt;
-    const double ns = parts->number * factor;
-    if (ns > kDurationMostNs) return std::nullopt;
+    const double ns = quantity->number * factor;
+    if (ns > kMaxDurationNs) return std::nullopt;
     return Duration(static_cast<std::int64_t>(std::llround(ns)));
 }
 
 std::optional<std::uint64_t> parse_size(std::string_view text) {
-    const auto parts = split(text);
-    if (!parts) return std::nullopt;
+    const auto quantity = parse_quantity(text);
+    if (!quantity) return std::nullopt;
     double factor = 0;
-    if (parts->unit.empty() || parts->unit == "B") factor = 1;
-    else if (parts->unit == "KiB") factor = 1024;
-    else if (parts->unit == "MiB") factor = 1024.0 * 1024;
-    else if (parts->unit == "GiB") factor = 1024.0 * 1024 * 1024;
+    if (quantity->unit.empty() || quantity->unit == "B") factor = 1;
+    else if (quantity->unit == "KiB") factor = 1024;
+    else if (quantity->unit == "MiB") factor = 1024.0 * 1024;
+    else if (quantity->unit == "GiB") factor = 1024.0 * 1024 * 1024;
     else return std::nullopt;
-    const double bytes = parts->number * factor;
-    if (bytes > kSizeMost) return std::nullopt;
+    const double bytes = quantity->number * factor;
+    if (bytes > kMaxSizeBytes) return std::nullopt;
     return static_cast<std::uint64_t>(std::llround(bytes));
 }
 
@@ -71,8 +71,8 @@
     std::string_view host = text.substr(0, colon);
     const std::string_view digits = text.substr(colon + 1);
     unsigned port = 0;
-    const auto [end, why] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
-    if (why != std::errc{} || end != digits.data() + digits.size() || port > 65535) return std::nullopt;
+    const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
+    if (error != std::errc{} || end != digits.data() + digits.size() || port > 65535) return std::nullopt;
     std::array<unsigned char, 16> parsed{};
     Address out;
     out.port = static_cast<std::uint16_t>(port);
--- a/src/base/units.hpp
+++ b/src/base/units.hpp
@@ -10,8 +10,8 @@
 
 namespace chalksail {
 
-// Parses "250us", "250ms", "1.5s", "2m", "1h"; nullopt for other text, negative durations or ones over a
-// year.
+// Parses "250us", "250ms", "1.5s", "2m", "1h"; nullopt for other text, and for durations that are
+// negative or over a year.
 [[nodiscard]] std::optional<Duration> parse_duration(std::string_view text);
 // Parses "512", "512B", "64KiB", "8MiB", "1GiB" as bytes; nullopt for other text.
 [[nodiscard]] std::optional<std::uint64_t> parse_size(std::string_view text);
--- a/src/engine/outcome.cpp
+++ b/src/engine/outcome.cpp
@@ -9,42 +9,47 @@
     return NotRun::unknown;
 }
 
-AttemptClassification classify(const AttemptObservation& f) {
-    switch (f.ending) {
+AttemptClassification classify(const AttemptObservation& observation) {
+    switch (observation.ending) {
         case ExchangeEnd::response_received: break;
         case ExchangeEnd::dial_failed:
         case ExchangeEnd::unverified:
         case ExchangeEnd::withdrawn:
-            // Guards against a network layer that reports "no connection" for bytes that were sent.
-            return {f.sent ? AttemptOutcome::reset : AttemptOutcome::connect_failed, false, false};
+            // Checks `sent` in case the network layer reports "no connection" although bytes were sent.
+            return {observation.sent ? AttemptOutcome::reset : AttemptOutcome::connect_failed, false, false};
         case ExchangeEnd::no_resources:
         case ExchangeEnd::expired:
-            // A local fault says nothing about the server: it is as if the attempt had never been made.
-            return {f.sent ? AttemptOutcome::reset : AttemptOutcome::not_sent, false, false};
+            // A local failure says nothing about the server: counts as if the attempt had not been made.
+            return {observation.sent ? AttemptOutcome::reset : AttemptOutcome::not_sent, false, false};
         case ExchangeEnd::connection_closed:
-            return {f.sent ? AttemptOutcome::reset : AttemptOutcome::connect_failed, false, false};
+            return {observation.sent ? AttemptOutcome::reset : AttemptOutcome::connect_failed, false, false};
         case ExchangeEnd::malformed_response:
-            return {f.started ? AttemptOutcome::reset : AttemptOutcome::error, false, false};
+            return {observation.started ? AttemptOutcome::reset : AttemptOutcome::error, false, false};
         case ExchangeEnd::timed_out:
-            return {f.sent ? AttemptOutcome::timeout : AttemptOutcome::connect_failed, false, false};
-        // One that was never sent counts as "no connection" too, as that is the proof; the policy itself has
-        // cancelled it.
+            return {observation.sent ? AttemptOutcome::timeout : AttemptOutcome::connect_failed, false,
+                    false};
+        // Without a sent byte the attempt certainly did not run, so it counts as connect_failed. The policy
+        // needs no outcome of its own for that, as it requested the cancellation.
         case ExchangeEnd::cancelled:
-            return {f.sent ? AttemptOutcome::cancelled : AttemptOutcome::connect_failed, false, false};
+            return {observation.sent ? AttemptOutcome::cancelled : AttemptOutcome::connect_failed, false,
+                    false};
     }
-    if (f.status == 200) {
-        if (f.complete) return {f.prefill ? AttemptOutcome::prefilled : AttemptOutcome::ok, false, false};
-        return {f.started ? AttemptOutcome::reset : AttemptOutcome::error, false, false};
+    if (observation.status == 200) {
+        if (observation.complete)
+            return {observation.prefill ? AttemptOutcome::prefilled : AttemptOutcome::ok, false, false};
+        return {observation.started ? AttemptOutcome::reset : AttemptOutcome::error, false, false};
     }
-    if (f.not_run != NotRun::unknown)
-        return {AttemptOutcome::at_capacity, f.not_run == NotRun::kv_state_missing, false};
-    if (f.not_run_status) return {AttemptOutcome::at_capacity, false, false};
-    // The server is healthy and rejects the request itself, as any other server would. 408, 425 and 429 are
-    // about the server's state at that time, 401 and 403 about this gateway's credentials there: these count
-    // as errors of the server.
-    const bool about_request = f.status >= 400 && f.status < 500 && f.status != 401 && f.status != 403 &&
-                               f.status != 408 && f.status != 425 && f.status != 429;
-    if (about_request) return {AttemptOutcome::ok, false, true};
+    if (observation.not_run != NotRun::unknown)
+        return {AttemptOutcome::at_capacity, observation.not_run == NotRun::kv_state_missing, false};
+    if (observation.not_run_status) return {AttemptOutcome::at_capacity, false, false};
+    // On most 4xx statuses the server is healthy and rejects the request itself, as any other server would.
+    // The exceptions count as server errors: 408, 425 and 429 depend on the server's current state, 401 and
+    // 403 on this gateway's credentials at that server.
+    const bool rejects_request = observation.status >= 400 && observation.status < 500 &&
+                                 observation.status != 401 && observation.status != 403 &&
+                                 observation.status != 408 && observation.status != 425 &&
+                                 observation.status != 429;
+    if (rejects_request) return {AttemptOutcome::ok, false, true};
     return {AttemptOutcome::error, false, false};
 }
 
--- a/src/engine/outcome.hpp
+++ b/src/engine/outcome.hpp
@@ -1,12 +1,12 @@
 // Classifies how an attempt ended, and whether that proves that the engine did not run it. The input is an
 // AttemptObservation, which holds all that the network layer observed; the output is the outcome that is
-// reported to the routing policy. No other code draws this conclusion. No I/O, no threads, no state.
+// reported to the routing policy. No other code classifies attempts. No I/O, no threads, no state.
 //
 // Only two things prove that an attempt did not run:
 //   - no byte of it was handed to a connection (none was established or available, or the attempt was
 //     withdrawn while it waited), or
-//   - the engine says so as documented, by the header `X-Engine-Not-Run` or by a status that the settings
-//     name for its kind ("not-run-status").
+//   - the engine reports it as documented, by the header `X-Engine-Not-Run` or by a status that the settings
+//     configure for the server's kind ("not-run-status").
 // Anything else may have run: a reset, a close before the first byte on a reused connection, a timeout, a
 // cancelled attempt, any other status, a malformed response.
 #pragma once
@@ -46,18 +46,19 @@
     bool complete = false;
     int status = 0;  // HTTP status of the response; 0: none
     NotRun not_run = NotRun::unknown;
-    bool not_run_status = false;  // the settings say that this status means "not run"
-    bool written = false;         // the request's last byte was sent too; engines start once they receive it
+    bool not_run_status = false;  // the settings configure this status as "not run"
+    // The request's last byte was handed to a connection too. Engines start once they receive it.
+    bool written = false;
 };
 
 // What an observation proves about the attempt.
 struct AttemptClassification {
     AttemptOutcome outcome = AttemptOutcome::error;
-    bool kv_state_missing = false;  // at_capacity only: there was no KV state to fetch
+    bool kv_state_missing = false;  // at_capacity only: the KV state to fetch did not exist
     bool client_error = false;  // the engine rejects the request itself (4xx); the client gets its response
 };
 
-// Classifies an attempt by what was observed of it.
+// Classifies an attempt from its observation.
 [[nodiscard]] AttemptClassification classify(const AttemptObservation& observation);
 // Returns true if an attempt with this outcome certainly did not run.
 [[nodiscard]] bool proves_not_run(AttemptOutcome outcome);
--- a/src/engine/protocol.cpp
+++ b/src/engine/protocol.cpp
@@ -10,39 +10,41 @@
 namespace chalksail::engine {
 namespace {
 
-// A client's own kv_transfer_params are never forwarded: they are between gateway and engines.
+// Replaces any kv_transfer_params of the client: these are internal to the gateway and the engines.
 constexpr std::string_view kPrefillParams =
     R"({"do_remote_decode":true,"do_remote_prefill":false,"remote_engine_id":null,"remote_block_ids":null,)"
     R"("remote_host":null,"remote_port":null})";
 
-constexpr double kCountLimit = 1e12;  // a token count at or above it is taken for malformed
+constexpr double kTokenCountLimit = 1e12;  // token counts at or above it are treated as malformed
 
-// A token count; 0 if there is none.
-double count(const json::Value* value) {
+// Returns a token count; 0 if it is absent or malformed.
+double token_count(const json::Value* value) {
     return value != nullptr && value->IsNumber() && value->GetDouble() >= 0 &&
-                   value->GetDouble() < kCountLimit
+                   value->GetDouble() < kTokenCountLimit
                ? value->GetDouble()
                : 0;
 }
 std::optional<Usage> read_usage(const json::Value& doc) {
     const auto* usage = json::find(doc, "usage");
     if (usage == nullptr || !usage->IsObject()) return std::nullopt;
-    Usage out{count(json::find(*usage, "prompt_tokens")), count(json::find(*usage, "completion_tokens")), {}};
+    Usage out{token_count(json::find(*usage, "prompt_tokens")),
+              token_count(json::find(*usage, "completion_tokens")),
+              {}};
     if (const auto* details = json::find(*usage, "prompt_tokens_details"))
         if (const auto* cached = json::find(*details, "cached_tokens");
             cached != nullptr && cached->IsNumber())
-            out.cached_tokens = count(cached);
+            out.cached_tokens = token_count(cached);
     return out;
 }
 
-// Adds one named figure to the load report; ignores names and values that don't belong there.
-void add_figure(Load& load, std::string_view name, double value) {
+// Adds one metric to the load report; ignores unknown names and invalid values.
+void add_metric(Load& load, std::string_view name, double value) {
     if (!std::isfinite(value) || value < 0) return;
-    const auto is = [&](std::string_view wanted) {
-        // With or without the prefixes "vllm:" and ORCA's "named_metrics.".
-        return name.ends_with(wanted) &&
-               (name.size() == wanted.size() ||
-                std::string_view(":._").find(name[name.size() - wanted.size() - 1]) !=
+    const auto is = [&](std::string_view metric) {
+        // Accepts prefixes such as "vllm:" and ORCA's "named_metrics.".
+        return name.ends_with(metric) &&
+               (name.size() == metric.size() ||
+                std::string_view(":._").find(name[name.size() - metric.size() - 1]) !=
                     std::string_view::npos);
     };
     if (is("num_requests_running")) load.running = load.running.value_or(0) + value;
@@ -66,8 +68,8 @@
 }  // namespace
 
 std::string prefill_body(std::string_view client_body, const chat::Request& request) {
-    // min_tokens and n are removed too: with one token to generate, an engine would reject the first and
-    // repeat the work for the second.
+    // Removes min_tokens and n too: with one token to generate, an engine would reject min_tokens above 1 and
+    // would repeat the work for n above 1.
     std::vector<chat::Override> overrides = {
         {"stream", "false"}, {"stream_options", std::nullopt},
         {"max_tokens", "1"}, {"min_tokens", std::nullopt},
@@ -111,9 +113,9 @@
 Chunk read_chunk(std::string_view data) {
     if (data == chat::kDone) return {ChunkKind::done, std::nullopt};
     if (!data.starts_with('{') || !data.ends_with('}')) return {ChunkKind::broken, std::nullopt};
-    // Most chunks contain neither name as a member (inside a string its quotes would be escaped) and are
-    // forwarded unparsed: parsing each would cost more than all other work on it. Uses memmem, as
-    // string_view's find stops at every quote.
+    // Most chunks have neither member (inside a string the quotes would be escaped) and are forwarded without
+    // being parsed: parsing would cost more than all other work on a chunk. Uses memmem, because
+    // string_view::find stops at every quote.
     const auto contains = [&](std::string_view text) {
         return memmem(data.data(), data.size(), text.data(), text.size()) != nullptr;
     };
@@ -141,7 +143,7 @@
         if (!json::parse(value.substr(5), doc) || !doc.IsObject()) return out;
         const auto add_members = [&](const json::Value& object) {
             for (const auto& m : object.GetObject())
-                if (m.value.IsNumber()) add_figure(out, json::text(m.name), m.value.GetDouble());
+                if (m.value.IsNumber()) add_metric(out, json::text(m.name), m.value.GetDouble());
         };
         add_members(doc);
         if (const auto* named = json::find(doc, "named_metrics"); named != nullptr && named->IsObject())
@@ -153,8 +155,8 @@
         const auto comma = value.find(',');
         const auto item = trim(value.substr(0, comma));
         if (const auto equals = item.find('='); equals != std::string_view::npos)
-            if (const auto figure = parse_number(trim(item.substr(equals + 1))))
-                add_figure(out, trim(item.substr(0, equals)), *figure);
+            if (const auto number = parse_number(trim(item.substr(equals + 1))))
+                add_metric(out, trim(item.substr(0, equals)), *number);
         value = comma == std::string_view::npos ? std::string_view{} : value.substr(comma + 1);
     }
     return out;
@@ -173,15 +175,15 @@
         if (name_end == std::string_view::npos) continue;
         const auto labels_end = line[name_end] == '{' ? line.rfind('}') : name_end - 1;
         if (labels_end == std::string_view::npos) continue;
-        const auto figure = parse_number(trim(line.substr(labels_end + 1)));
-        if (!figure) continue;
+        const auto number = parse_number(trim(line.substr(labels_end + 1)));
+        if (!number) continue;
         Load sample;
-        add_figure(sample, line.substr(0, name_end), *figure);
+        add_metric(sample, line.substr(0, name_end), *number);
         if (sample.memory_share) {
             share_sum += *sample.memory_share;
             ++share_count;
         }
-        add_figure(out, line.substr(0, name_end), *figure);
+        add_metric(out, line.substr(0, name_end), *number);
     }
     if (share_count > 0) out.memory_share = share_sum / share_count;
     return out;
--- a/src/http/chunk_reader.cpp
+++ b/src/http/chunk_reader.cpp
@@ -5,9 +5,9 @@
 namespace chalksail::http {
 namespace {
 
-constexpr int kSizeDigitsMost = 16;  // of a 64-bit size in hexadecimal
+constexpr int kMaxSizeDigits = 16;  // of a 64-bit number in hexadecimal
 
-// The value of a hexadecimal digit; -1 for any other character.
+// Returns the value of a hexadecimal digit; -1 for any other character.
 int hex_digit(char c) {
     if (c >= '0' && c <= '9') return c - '0';
     if (c >= 'a' && c <= 'f') return c - 'a' + 10;
@@ -47,9 +47,9 @@
 
 bool ChunkReader::on_size(char byte) {
     if (const int digit = hex_digit(byte); digit >= 0) {
-        if (++size_digits_ > kSizeDigitsMost) return false;
-        chunk_left_ = chunk_left_ * 16 + static_cast<std::uint64_t>(digit);
-        return chunk_left_ <= limits_.chunk_bytes;
+        if (++size_digits_ > kMaxSizeDigits) return false;
+        chunk_bytes_remaining_ = chunk_bytes_remaining_ * 16 + static_cast<std::uint64_t>(digit);
+        return chunk_bytes_remaining_ <= limits_.chunk_bytes;
     }
     if (size_digits_ == 0) return false;
     if (byte == '\r') state_ = State::size_end;
@@ -67,16 +67,17 @@
 bool ChunkReader::on_size_end(char byte) {
     if (byte != '\n') return false;
     size_digits_ = 0;
-    state_ = chunk_left_ == 0 ? State::trailer : State::data;
+    state_ = chunk_bytes_remaining_ == 0 ? State::trailer : State::data;
     return true;
 }
 
 void ChunkReader::on_data(std::string_view& bytes, std::string& body) {
-    const auto length = static_cast<std::size_t>(std::min<std::uint64_t>(chunk_left_, bytes.size()));
+    const auto length =
+        static_cast<std::size_t>(std::min<std::uint64_t>(chunk_bytes_remaining_, bytes.size()));
     body.append(bytes.substr(0, length));
     bytes.remove_prefix(length);
-    chunk_left_ -= length;
-    if (chunk_left_ == 0) state_ = State::data_cr;
+    chunk_bytes_remaining_ -= length;
+    if (chunk_bytes_remaining_ == 0) state_ = State::data_cr;
 }
 
 bool ChunkReader::on_data_cr(char byte) {
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -13,18 +13,19 @@
 namespace chalksail::http {
 namespace {
 
-char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + ('a' - 'A')) : c; }
+char to_lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + ('a' - 'A')) : c; }
 
-// Bytes reserved for a request body at its head, however long the client says it is.
-constexpr std::size_t kBodyReserveMost = 64 * 1024;
+// Maximum bytes reserved for a request body once its head is parsed, so that a large Content-Length alone
+// does not allocate memory.
+constexpr std::size_t kMaxInitialBodyReserve = 64 * 1024;
 
-// Collects a head from http-parser's callbacks and counts its bytes.
+// Builds the header fields from http-parser's callbacks and counts the bytes of the head.
 struct HeadBuilder {
     Headers headers;
     bool in_value = false;
     std::size_t bytes = 0;
 
-    // Both return false if the head outgrows `limit` bytes.
+    // Both return false if the head exceeds `limit` bytes.
     bool add_to_name(std::string_view part, std::size_t limit) {
         if ((bytes += part.size()) > limit) return false;
         if (in_value || headers.all().empty()) headers.add({}, {});
@@ -39,7 +40,8 @@
         headers.all().back().value += part;
         return true;
     }
-    // http-parser leaves the white space after a value, which is no part of it (RFC 9112, 5).
+    // Returns the fields, without the trailing whitespace that http-parser leaves on values and that is not
+    // part of them (RFC 9112, section 5).
     Headers take() {
         for (auto& h : headers.all())
             while (!h.value.empty() && (h.value.back() == ' ' || h.value.back() == '\t')) h.value.pop_back();
@@ -52,8 +54,8 @@
 }  // namespace
 
 bool same_name(std::string_view a, std::string_view b) {
-    return a.size() == b.size() &&
-           std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return lower(x) == lower(y); });
+    return a.size() == b.size() && std::equal(a.begin(), a.end(), b.begin(),
+                                              [](char x, char y) { return to_lower(x) == to_lower(y); });
 }
 
 std::string_view Headers::get(std::string_view name) const {
@@ -79,22 +81,22 @@
     explicit State(Limits message_limits) : limits(message_limits) {
         http_parser_settings_init(&callbacks);
         callbacks.on_url = [](http_parser* p, const char* at, std::size_t n) {
-            return of(p).on_target({at, n});
+            return state_of(p).on_target({at, n});
         };
         callbacks.on_header_field = [](http_parser* p, const char* at, std::size_t n) {
-            return of(p).on_header_name({at, n});
+            return state_of(p).on_header_name({at, n});
         };
         callbacks.on_header_value = [](http_parser* p, const char* at, std::size_t n) {
-            return of(p).on_header_value({at, n});
+            return state_of(p).on_header_value({at, n});
         };
-        callbacks.on_headers_complete = [](http_parser* p) { return of(p).on_head_complete(); };
+        callbacks.on_headers_complete = [](http_parser* p) { return state_of(p).on_head_complete(); };
         callbacks.on_body = [](http_parser* p, const char* at, std::size_t n) {
-            return of(p).on_body({at, n});
+            return state_of(p).on_body({at, n});
         };
-        callbacks.on_message_complete = [](http_parser* p) { return of(p).on_complete(); };
+        callbacks.on_message_complete = [](http_parser* p) { return state_of(p).on_complete(); };
         begin();
     }
-    // Makes ready for the next request on the connection.
+    // Prepares for the next request on the connection.
     void begin() {
         http_parser_init(&parser, HTTP_REQUEST);
         parser.data = this;
@@ -115,11 +117,11 @@
     std::optional<Fault> fault;
 
 private:
-    // What http-parser's callbacks return: go on, or stop with an error.
+    // Return values of http-parser's callbacks.
     static constexpr int kContinueParsing = 0;
     static constexpr int kStopParsing = 1;
 
-    static State& of(http_parser* p) { return *static_cast<State*>(p->data); }
+    static State& state_of(http_parser* p) { return *static_cast<State*>(p->data); }
     int fail(int status, std::string text) {
         fault = Fault{status, std::move(text)};
         return kStopParsing;
@@ -145,14 +147,16 @@
         request.method = http_method_str(static_cast<http_method>(parser.method));
         request.http_1_0 = parser.http_major == 1 && parser.http_minor == 0;
         request.keep_alive = http_should_keep_alive(&parser) != 0;
-        if (parser.http_major != 1) return fail(505, "HTTP/1.1 wanted");
+        if (parser.http_major != 1) return fail(505, "unsupported HTTP version: HTTP/1.x expected");
         const bool has_length = parser.content_length != ULLONG_MAX;
         if (has_length && parser.content_length > limits.body_bytes) return body_too_large();
         if (const auto expect = request.headers.get("expect"); !expect.empty()) {
-            if (!same_name(expect, "100-continue")) return fail(417, "unknown expectation");
+            if (!same_name(expect, "100-continue"))
+                return fail(417, "unsupported Expect header: only 100-continue is supported");
             continue_expected = !request.http_1_0;
         }
-        if (has_length) request.body.reserve(std::min<std::size_t>(parser.content_length, kBodyReserveMost));
+        if (has_length)
+            request.body.reserve(std::min<std::size_t>(parser.content_length, kMaxInitialBodyReserve));
         return kContinueParsing;
     }
     int on_body(std::string_view bytes) {
@@ -161,7 +165,7 @@
         request.body += bytes;
         return kContinueParsing;
     }
-    // Pauses the parser: what follows belongs to the next request.
+    // Pauses the parser, as the bytes that follow belong to the next request.
     int on_complete() {
         complete = true;
         http_parser_pause(&parser, 1);
@@ -178,8 +182,8 @@
 
 RequestReader::Progress RequestReader::feed(std::string_view& bytes) {
     State& s = *state_;
-    const std::size_t used = http_parser_execute(&s.parser, &s.callbacks, bytes.data(), bytes.size());
-    bytes.remove_prefix(std::min(used, bytes.size()));
+    const std::size_t consumed = http_parser_execute(&s.parser, &s.callbacks, bytes.data(), bytes.size());
+    bytes.remove_prefix(std::min(consumed, bytes.size()));
     if (s.fault) return *s.fault;
     if (s.complete) {
         Request out = std::move(s.request);
@@ -189,7 +193,7 @@
     const auto error = HTTP_PARSER_ERRNO(&s.parser);
     if (error == HPE_HEADER_OVERFLOW) return Fault{431, "request head too large"};
     if (error != HPE_OK || s.parser.upgrade != 0)
-        return Fault{400, "not HTTP/1.1: " + parser_error(s.parser)};
+        return Fault{400, "malformed HTTP/1.1 message: " + parser_error(s.parser)};
     return NeedMore{std::exchange(s.continue_expected, false)};
 }
 
@@ -198,22 +202,24 @@
 struct ResponseReader::State {
     explicit State(Limits message_limits) : limits(message_limits) {
         http_parser_settings_init(&callbacks);
-        callbacks.on_message_begin = [](http_parser* p) { return of(p).on_begin(); };
-        callbacks.on_status = [](http_parser* p, const char*, std::size_t n) { return of(p).on_reason(n); };
+        callbacks.on_message_begin = [](http_parser* p) { return state_of(p).on_begin(); };
+        callbacks.on_status = [](http_parser* p, const char*, std::size_t n) {
+            return state_of(p).on_reason(n);
+        };
         callbacks.on_header_field = [](http_parser* p, const char* at, std::size_t n) {
-            return of(p).on_header_name({at, n});
+            return state_of(p).on_header_name({at, n});
         };
         callbacks.on_header_value = [](http_parser* p, const char* at, std::size_t n) {
-            return of(p).on_header_value({at, n});
+            return state_of(p).on_header_value({at, n});
         };
-        callbacks.on_headers_complete = [](http_parser* p) { return of(p).on_head_complete(); };
+        callbacks.on_headers_complete = [](http_parser* p) { return state_of(p).on_head_complete(); };
         callbacks.on_body = [](http_parser* p, const char* at, std::size_t n) {
-            return of(p).on_body({at, n});
+            return state_of(p).on_body({at, n});
         };
-        callbacks.on_message_complete = [](http_parser* p) { return of(p).on_complete(); };
+        callbacks.on_message_complete = [](http_parser* p) { return state_of(p).on_complete(); };
         begin();
     }
-    // Makes ready for the next response on the connection.
+    // Prepares for the next response on the connection.
     void begin() {
         http_parser_init(&parser, HTTP_RESPONSE);
         parser.data = this;
@@ -230,15 +236,15 @@
     bool begun = false;
     bool complete = false;
     bool head_too_large = false;
-    bool keep_alive = false;            // by its head; used for chunked bodies
-    std::optional<ChunkReader> chunks;  // set while a chunked body is read
-    std::vector<ResponsePart> parsed;   // since the last feed()
+    bool keep_alive = false;            // according to the head; used for chunked bodies
+    std::optional<ChunkReader> chunks;  // set while a chunked body is being read
+    std::vector<ResponsePart> parsed;   // parts completed by the current input
 
 private:
-    static State& of(http_parser* p) { return *static_cast<State*>(p->data); }
-    // Informational responses (1xx) come before the one that is waited for.
+    static State& state_of(http_parser* p) { return *static_cast<State*>(p->data); }
+    // Returns true for an informational (1xx) response, which precedes the final one.
     [[nodiscard]] bool informational() const { return parser.status_code < 200; }
-    // What a callback returns after the head has grown: 1 stops the parser with an error.
+    // Returns the callback's result after bytes were added to the head: 1 stops the parser with an error.
     int check_head(bool within_limit) {
         head_too_large = !within_limit;
         return within_limit ? 0 : 1;
@@ -265,7 +271,7 @@
         if (informational() || (parser.flags & F_CHUNKED) == 0) return 0;
         keep_alive = http_should_keep_alive(&parser) != 0;
         chunks.emplace(limits);
-        return 1;  // tells http-parser that there is no body: ChunkReader reads it
+        return 1;  // http-parser is to expect no body: ChunkReader reads it
     }
     int on_body(std::string_view bytes) {
         if (!parsed.empty() && std::holds_alternative<ResponseBodyPart>(parsed.back()))
@@ -279,7 +285,7 @@
             return 0;
         }
         http_parser_pause(&parser, 1);
-        if (chunks) return 0;  // only the head is complete
+        if (chunks) return 0;  // only the head is complete: ChunkReader finds the end of the body
         complete = true;
         parsed.emplace_back(ResponseEnd{http_should_keep_alive(&parser) != 0});
         return 0;
@@ -294,13 +300,14 @@
 
 namespace {
 
-// Reads on in a chunked body, after the `parsed` pieces of the same input.
+// Reads more of a chunked body and appends its parts to `parsed`, the parts that the same input completed
+// before.
 std::vector<ResponsePart> feed_chunks(ChunkReader& chunks, std::string_view bytes, bool keep_alive,
                                       std::vector<ResponsePart> parsed) {
     std::string body;
     const bool valid = chunks.feed(bytes, body);
     if (!body.empty()) parsed.emplace_back(ResponseBodyPart{std::move(body)});
-    if (!valid) parsed.emplace_back(Fault{502, "not HTTP/1.1: a chunk that can't be read, or does not fit"});
+    if (!valid) parsed.emplace_back(Fault{502, "malformed chunked body in the response"});
     else if (chunks.complete()) parsed.emplace_back(ResponseEnd{keep_alive && bytes.empty()});
     return parsed;
 }
@@ -309,35 +316,35 @@
 
 std::vector<ResponsePart> ResponseReader::feed(std::string_view bytes) {
     State& s = *state_;
-    if (bytes.empty()) return {};  // to http-parser an empty input is the end of the stream
-    if (s.complete) return {Fault{502, "bytes after the end of the answer"}};
-    std::size_t used = 0;
-    if (!s.chunks) used = http_parser_execute(&s.parser, &s.callbacks, bytes.data(), bytes.size());
+    if (bytes.empty()) return {};  // http-parser would take empty input for the end of the stream
+    if (s.complete) return {Fault{502, "bytes after the end of the response"}};
+    std::size_t consumed = 0;
+    if (!s.chunks) consumed = http_parser_execute(&s.parser, &s.callbacks, bytes.data(), bytes.size());
     auto out = std::exchange(s.parsed, {});
     if (s.chunks) {
-        out = feed_chunks(*s.chunks, bytes.substr(used), s.keep_alive, std::move(out));
+        out = feed_chunks(*s.chunks, bytes.substr(consumed), s.keep_alive, std::move(out));
         s.complete = s.chunks->complete();
         return out;
     }
     if (s.complete) {
-        if (used < bytes.size()) std::get<ResponseEnd>(out.back()).keep_alive = false;
+        if (consumed < bytes.size()) std::get<ResponseEnd>(out.back()).keep_alive = false;
         return out;
     }
     if (s.head_too_large || HTTP_PARSER_ERRNO(&s.parser) == HPE_HEADER_OVERFLOW)
-        out.emplace_back(Fault{502, "answer's head too large"});
+        out.emplace_back(Fault{502, "response head too large"});
     else if (HTTP_PARSER_ERRNO(&s.parser) != HPE_OK || s.parser.upgrade != 0)
-        out.emplace_back(Fault{502, "not HTTP/1.1: " + parser_error(s.parser)});
+        out.emplace_back(Fault{502, "malformed HTTP/1.1 message: " + parser_error(s.parser)});
     return out;
 }
 
 std::vector<ResponsePart> ResponseReader::close() {
     State& s = *state_;
     if (s.complete || !s.begun) return {};
-    if (s.chunks) return {Fault{502, "the answer was cut", true}};
+    if (s.chunks) return {Fault{502, "the connection was closed before the response was complete", true}};
     http_parser_execute(&s.parser, &s.callbacks, nullptr, 0);
     auto out = std::exchange(s.parsed, {});
     if (s.complete) std::get<ResponseEnd>(out.back()).keep_alive = false;
-    else out.emplace_back(Fault{502, "the answer was cut", true});
+    else out.emplace_back(Fault{502, "the connection was closed before the response was complete", true});
     return out;
 }
 
@@ -358,7 +365,7 @@
     for (const auto& h : headers.all()) {
         out += h.name;
         out += ": ";
-        // A line break in a value would begin a header of its own: nothing from outside may do that.
+        // Prevents header injection: a line break in a value would begin another header field.
         for (const char c : h.value) out += c == '\r' || c == '\n' ? ' ' : c;
         out += "\r\n";
     }
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -1,6 +1,6 @@
-// HTTP/1.1 messages as values, and their bytes on the wire. http-parser does the parsing; this package adds
-// limits and types. Parsing is incremental: any split of the input gives the same result. It is bounded: a
-// message over its limits is an error before it is stored. No I/O, no threads. Errors are returned as Fault.
+// Parses and formats HTTP/1.1 messages. http-parser does the parsing; this package adds limits and types.
+// Parsing is incremental (any split of the input gives the same result) and bounded: a message over a limit
+// is rejected before it is stored. No I/O, no threads. Errors are returned as Fault.
 #pragma once
 
 #include <cstdint>
@@ -18,17 +18,17 @@
     std::string value;
 };
 
-// The header fields of a message, in order; names compare without regard to case.
+// The header fields of a message, in order. Names are compared case-insensitively.
 class Headers {
 public:
-    // Appends a field; fields of the same name stay.
+    // Appends a field; keeps existing fields of the same name.
     void add(std::string name, std::string value) { all_.push_back({std::move(name), std::move(value)}); }
-    // Replaces the first of that name, or adds it.
+    // Replaces the value of the first field of that name, or appends a field if there is none.
     void set(std::string_view name, std::string value);
-    // The first of that name, in any case of letters; empty if there is none.
+    // Returns the value of the first field of that name; empty if there is none.
     [[nodiscard]] std::string_view get(std::string_view name) const;
     [[nodiscard]] bool has(std::string_view name) const;
-    // All fields, in order.
+    // Returns all fields, in order.
     [[nodiscard]] const std::vector<Header>& all() const { return all_; }
     std::vector<Header>& all() { return all_; }
 
@@ -36,13 +36,13 @@
     std::vector<Header> all_;
 };
 
-// Are these the same header name, in any case of letters?
+// Returns true if the header names are equal, compared case-insensitively.
 [[nodiscard]] bool same_name(std::string_view a, std::string_view b);
 
 // A complete request, as a server receives it.
 struct Request {
     std::string method;
-    std::string target;  // as sent; path() leaves the query out
+    std::string target;  // as received, including the query
     Headers headers;
     std::string body;
     bool keep_alive = true;
@@ -52,18 +52,18 @@
     }
 };
 
-// The most bytes of each part of a message.
+// Maximum sizes of the parts of a message.
 struct Limits {
     std::size_t head_bytes = 32 * 1024;
     std::size_t body_bytes = 8 * 1024 * 1024;
-    std::uint64_t chunk_bytes = std::uint64_t{1} << 30U;  // one chunk of an answer
+    std::uint64_t chunk_bytes = std::uint64_t{1} << 30U;  // one chunk of a response body
 };
 
-// Why a message can't be read: the status to answer with, and the reason as text for logs.
+// A parse error: the status to respond with, and a description for logs and error responses.
 struct Fault {
     int status = 400;
     std::string text;
-    bool cut = false;  // the stream ended within a message
+    bool cut = false;  // the connection was closed within a message
 };
 
 // Reads requests, one at a time, from a byte stream.
@@ -77,15 +77,16 @@
     RequestReader& operator=(const RequestReader&) = delete;
 
     struct NeedMore {
-        bool send_continue = false;  // the client waits for "100 Continue" before its body; set once
+        // The client waits for "100 Continue" before it sends the body. Set once for each request.
+        bool send_continue = false;
     };
     using Progress = std::variant<NeedMore, Request, Fault>;
-    // Removes from the front of `bytes` what it has read, at most to the end of one request. After a Fault
-    // the stream can't be read further.
+    // Parses `bytes` up to the end of one request at most, and removes the consumed bytes from the front.
+    // After a Fault the reader must not be used again.
     [[nodiscard]] Progress feed(std::string_view& bytes);
-    // Has the head of the current request been read completely?
+    // Returns true once the head of the current request is complete.
     [[nodiscard]] bool in_body() const;
-    // Bytes of its body so far.
+    // Returns the number of body bytes received for the current request.
     [[nodiscard]] std::size_t body_bytes() const;
 
 private:
@@ -93,7 +94,8 @@
     std::unique_ptr<State> state_;
 };
 
-// The parts of one response, in order: a head, parts of the body, the end. A Fault ends it instead.
+// The parts of one response, in order: the head, any number of body parts, the end. After an error a Fault
+// takes the place of the remaining parts.
 struct ResponseHead {
     int status = 0;
     Headers headers;
@@ -106,8 +108,8 @@
 };
 using ResponsePart = std::variant<ResponseHead, ResponseBodyPart, ResponseEnd, Fault>;
 
-// Reads responses from a byte stream. Informational (1xx) ones are skipped. The body as a whole is not
-// bounded here: its parts are returned as they arrive, and the caller counts them.
+// Reads responses from a byte stream. Skips informational (1xx) responses. Does not limit the size of the
+// whole body: body parts are returned as they arrive, and the caller must count their bytes.
 class ResponseReader {
 public:
     explicit ResponseReader(Limits limits);
@@ -117,12 +119,13 @@
     ResponseReader(const ResponseReader&) = delete;
     ResponseReader& operator=(const ResponseReader&) = delete;
 
-    // The parts that `bytes` complete. Bytes after the end of the response are a Fault: no request is open.
+    // Returns the parts that `bytes` complete. Bytes after the end of the response give a Fault, as no
+    // request is in flight.
     [[nodiscard]] std::vector<ResponsePart> feed(std::string_view bytes);
-    // The peer closed: ends a response whose body runs to the close; a Fault if it is cut; nothing between
-    // responses.
+    // Handles the end of the connection: completes a response whose body is delimited by it, and returns a
+    // Fault for any other incomplete response. Returns nothing between responses.
     [[nodiscard]] std::vector<ResponsePart> close();
-    // Makes ready for the next response on the same connection.
+    // Prepares for the next response on the same connection.
     void reset();
 
 private:
@@ -130,13 +133,14 @@
     std::unique_ptr<State> state_;
 };
 
-// The reason phrase of a status code; "Unknown" for others.
+// Returns the reason phrase of a status code; "Unknown" for an unregistered code.
 [[nodiscard]] std::string_view reason(int status);
-// Heads with the empty line that ends them. Line breaks in values become spaces.
+// Format a message head, including the empty line that ends it. Replace CR and LF in header values with
+// spaces.
 [[nodiscard]] std::string format_request_head(std::string_view method, std::string_view target,
                                               const Headers& headers);
 [[nodiscard]] std::string format_response_head(int status, const Headers& headers);
-// One chunk of a chunked body, with its size line.
+// Formats one chunk of a chunked body, including its size line.
 [[nodiscard]] std::string format_chunk(std::string_view bytes);
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 inline constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
--- a/src/platform/answer.cpp
+++ b/src/platform/answer.cpp
@@ -12,9 +12,9 @@
 constexpr int kStateMissing = 410;
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
-constexpr double kMaxReportedTokens = 1e12;  // larger counts are nonsense
+constexpr double kMaxReportedTokens = 1e12;  // larger counts are treated as malformed
 
-// 0 for anything that is no token count.
+// Returns a token count; 0 if it is absent or malformed.
 double token_count(const json::Value* value) {
     if (value == nullptr || !value->IsNumber()) return 0;
     const double count = value->GetDouble();
@@ -26,7 +26,7 @@
         return {AttemptOutcome::at_capacity, true};
     if (observation.not_run && (observation.status == kUnavailable || observation.status == kGatewayTimeout))
         return {AttemptOutcome::at_capacity};
-    // A response before the request's last byte was sent: an incomplete request was not processed.
+    // The server responded before the request was complete, and so has not processed it.
     if (!observation.written) return {AttemptOutcome::connect_failed};
     if (observation.prefill && observation.status == kPrefilled && observation.complete)
         return {AttemptOutcome::prefilled};
@@ -40,7 +40,7 @@
 std::string lease_target(std::string_view id) { return "/kv/leases/" + std::string(id); }
 
 AttemptClassification classify(const AttemptObservation& observation) {
-    // What was not written completely was not processed, whatever happened then.
+    // A request that was not written completely was not processed, however the exchange ended.
     const auto if_written = [&](AttemptOutcome outcome) {
         return AttemptClassification{observation.written ? outcome : AttemptOutcome::connect_failed};
     };
@@ -81,7 +81,6 @@
     return events;
 }
 
-// False if the event is malformed.
 bool EventReader::inspect(std::string_view event) {
     constexpr std::string_view kData = "data:";
     while (!event.empty() && (event.front() == '\n' || event.front() == '\r')) event.remove_prefix(1);
--- a/src/platform/configuration.cpp
+++ b/src/platform/configuration.cpp
@@ -16,7 +16,7 @@
     const auto text = variable.empty() ? optional<std::string>(configuration, field) : variable;
     if (text.empty()) reject(field, "missing");
     const auto address = parse_address(text);
-    if (!address) reject(field, "IP:PORT wanted");
+    if (!address) reject(field, "must be IP:PORT");
     return *address;
 }
 
@@ -26,7 +26,7 @@
     const char* const end = text.data() + text.size();
     const auto [stop, error] = std::from_chars(text.data(), end, seed, 16);
     if (text.empty() || error != std::errc{} || stop != end)
-        reject("seed", "up to 16 hexadecimal digits wanted");
+        reject("seed", "must be 1 to 16 hexadecimal digits");
     return seed;
 }
 
@@ -38,9 +38,9 @@
     if (find(given, "memory_mb") != nullptr)
         limits.memory_mb = static_cast<std::int64_t>(required<double>(given, "memory_mb"));
     if (find(given, "sockets") != nullptr) limits.sockets = required<std::int64_t>(given, "sockets");
-    if (limits.cores <= 0) reject("cores", "more than 0 wanted");
-    if (limits.memory_mb < kMinMemoryMb) reject("memory_mb", "at least 16 wanted");
-    if (limits.sockets < kMinSockets) reject("sockets", "at least 64 wanted");
+    if (limits.cores <= 0) reject("cores", "must be greater than 0");
+    if (limits.memory_mb < kMinMemoryMb) reject("memory_mb", "must be at least 16");
+    if (limits.sockets < kMinSockets) reject("sockets", "must be at least 64");
     return limits;
 }
 
@@ -58,7 +58,7 @@
                                                              const Environment& environment) {
     json::Document document;
     if (!json::parse(text, document) || !document.IsObject())
-        return tl::unexpected(std::string("one JSON object wanted"));
+        return tl::unexpected(std::string("the configuration must be one JSON object"));
     try {
         Configuration configuration;
         configuration.name =
--- a/src/platform/configuration.hpp
+++ b/src/platform/configuration.hpp
@@ -1,11 +1,11 @@
-// The users' platform: its configuration file, client requests, model servers' responses and endpoint list as
-// typed messages.
+// The codecs of the users' platform: its configuration file, client requests, model servers' responses and
+// endpoint list as typed values.
 //
-// The platform's own words (its JSON members and headers) end here; beyond the package they have the names of
-// the public interface. Bytes in, values out: no I/O, no clock, no threads. What is wrong with the input is a
-// text that names the member or header at fault, for the log or the client.
+// The platform's names for JSON members and headers occur only in this package, which maps them to the names
+// of the public interface. No I/O, no clock, no threads. Errors are texts that name the invalid member or
+// header, for the log or the client.
 //
-// This header: what a gateway is given at its start, a JSON file and a few environment variables.
+// This header declares a gateway's configuration: a JSON file and a few environment variables.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -33,19 +33,19 @@
     Address discovery;
     std::uint64_t seed = 0;
     Limits limits;
-    std::optional<EndpointListUpdate> known;  // a list from before, which may be stale
+    std::optional<EndpointListUpdate> known;  // the initial endpoint list, which may be stale
     Settings settings;
-    Duration server_idle_timeout{};  // servers close a connection that was idle for so long; 0: not given
+    Duration server_idle_timeout{};  // servers close connections that are idle for longer; 0: not given
 };
 
-// Environment variables; empty where one is not set. One that is set wins over the file.
+// Values of environment variables, which override the file; empty if not set.
 struct Environment {
     std::string name;
     std::string listen;
     std::string discovery;
 };
 
-// The error names the member at fault.
+// Parses the configuration file. The error names the invalid member.
 [[nodiscard]] tl::expected<Configuration, std::string> parse_configuration(std::string_view text,
                                                                            const Environment& environment);
 
--- a/src/platform/endpoint_list.hpp
+++ b/src/platform/endpoint_list.hpp
@@ -1,5 +1,5 @@
-// The platform's list of model servers as its discovery service sends it: complete, or as a watch, a stream
-// of JSON objects.
+// The platform's list of model servers as its discovery service sends it: as a complete list, or as a watch
+// (a stream of JSON objects, each with the changes since the previous one).
 #pragma once
 
 #include <rapidjson/document.h>
@@ -22,42 +22,43 @@
     std::int64_t cell = 0;
     EndpointState state = EndpointState::up;
     double weight = 1;
-    std::int64_t started_unix_ms = 0;  // 0: long ago
+    std::int64_t started_unix_ms = 0;  // 0: unknown, treated as long ago
 };
 struct EndpointListUpdate {
     std::int64_t generation = 0;
-    bool complete = false;  // endpoints that are not in it were removed
+    bool complete = false;  // a snapshot: endpoints that it does not list were removed
     std::vector<EndpointEntry> endpoints;
 };
 
-// An update is rejected as a whole, with the reason, for an unknown word, an id given twice or an invalid
-// address.
+// Both reject an update as a whole, with the reason, if an entry has an unknown value, a duplicate id or an
+// invalid address.
 [[nodiscard]] tl::expected<EndpointListUpdate, std::string> read_endpoint_list(const rapidjson::Value& list);
 [[nodiscard]] tl::expected<EndpointListUpdate, std::string> parse_endpoint_list(std::string_view text);
 
-// The path of the complete list, and of a watch of what changes after a generation of it.
+// Return the request target of the complete list, and of a watch for changes after a generation of the list.
 [[nodiscard]] std::string list_target();
 [[nodiscard]] std::string watch_target(std::int64_t generation);
 
-// Splits the bytes of a watch into JSON objects, each on one line or over several. White space between them,
-// which only keeps the watch alive, is dropped. Text that is no object is returned as it is, up to the end of
-// its line. Not thread-safe.
+// Splits the bytes of a watch into JSON objects, each on one line or several. Drops the whitespace between
+// them, which only keeps the watch alive. Returns text that is not an object unchanged, line by line. Not
+// thread-safe.
 class ObjectReader {
 public:
-    // `max_bytes`: of one object; a larger one is never stored.
+    // `max_bytes` is the maximum size of one object; the reader stops at a larger one.
     explicit ObjectReader(std::size_t max_bytes) : max_bytes_(max_bytes) {}
-    // The objects that were completed. After an overflow none are returned.
+    // Returns the objects that `bytes` complete; none after an overflow.
     [[nodiscard]] std::vector<std::string> feed(std::string_view bytes);
     [[nodiscard]] bool overflowed() const { return overflowed_; }
-    // Has an object begun and not ended?
+    // Returns true while an object is incomplete.
     [[nodiscard]] bool midway() const { return !partial_.empty(); }
 
 private:
-    [[nodiscard]] bool ends_with(char c);
+    // Tracks strings and nesting over one more byte. Returns true if the byte ends the object.
+    [[nodiscard]] bool is_last_byte(char c);
 
     std::size_t max_bytes_;
     std::string partial_;
-    std::size_t depth_ = 0;  // of braces
+    std::size_t depth_ = 0;  // number of open braces
     bool in_string_ = false;
     bool escaped_ = false;
     bool overflowed_ = false;
--- a/src/platform/request.cpp
+++ b/src/platform/request.cpp
@@ -16,10 +16,10 @@
 
 constexpr std::size_t kMaxNameBytes = 128;
 constexpr double kMaxTokens = 1e9;
-constexpr double kBytesPerToken = 4;  // the platform's own estimate
-constexpr std::int64_t kDayMs = 86'400'000;
+constexpr double kBytesPerToken = 4;  // the platform's estimate for prompts without a token count
+constexpr std::int64_t kMaxTimeRemainingMs = 86'400'000;
 
-// Names from outside get into paths and logs: letters, digits and a few marks only.
+// Names in requests are written to paths and logs, so only letters, digits, '-', '_' and '.' are allowed.
 bool is_name_char(char c) {
     return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' ||
            c == '_' || c == '.';
@@ -49,12 +49,12 @@
     return text;
 }
 
-// Reads one "name=value"; unknown names are ignored. False if it is malformed.
-bool read_fact(std::string_view fact, ClientRequest& request) {
-    const auto equals = fact.find('=');
+// Reads one "name=value" pair; ignores unknown names. Returns false if the pair is malformed.
+bool read_pair(std::string_view pair, ClientRequest& request) {
+    const auto equals = pair.find('=');
     if (equals == std::string_view::npos) return false;
-    const auto name = fact.substr(0, equals);
-    const auto value = fact.substr(equals + 1);
+    const auto name = pair.substr(0, equals);
+    const auto value = pair.substr(equals + 1);
     if (name == "prefix") {
         if (!is_name(value)) return false;
         request.prefix = value;
@@ -71,18 +71,18 @@
     return true;
 }
 
-// Reads the comma-separated facts of kFactsHeader. False if one is malformed.
-bool read_facts(std::string_view text, ClientRequest& request) {
+// Reads the comma-separated pairs of kFactsHeader. Returns false if one is malformed.
+bool read_pairs(std::string_view text, ClientRequest& request) {
     while (!text.empty()) {
         const auto comma = text.find(',');
-        const auto fact = trim_spaces(text.substr(0, comma));
+        const auto pair = trim_spaces(text.substr(0, comma));
         text.remove_prefix(comma == std::string_view::npos ? text.size() : comma + 1);
-        if (!fact.empty() && !read_fact(fact, request)) return false;
+        if (!pair.empty() && !read_pair(pair, request)) return false;
     }
     return true;
 }
 
-// Is the body one JSON object? Validates it in one pass and stores nothing.
+// Returns true if the body is one JSON object. Validates it in one pass and stores nothing.
 bool is_json_object(std::string_view body) {
     const auto first = body.find_first_not_of(" \t\r\n");
     if (first == std::string_view::npos || body[first] != '{') return false;
@@ -99,30 +99,32 @@
     const auto error = [](std::string_view header, std::string_view problem) {
         return tl::unexpected(std::string(header) + ": " + std::string(problem));
     };
-    // A header given twice may be read differently here and at the servers.
+    // Rejects repeated headers, as the gateway and the servers might use different ones of them.
     for (const auto header : {kIdHeader, kClassHeader, kTenantHeader, kSessionHeader, kTimeRemainingHeader,
                               kFactsHeader, kRepeatHeader, kIdempotencyHeader})
-        if (count(headers, header) > 1) return error(header, "given twice");
+        if (count(headers, header) > 1) return error(header, "occurs more than once");
     ClientRequest out;
     out.id = headers.get(kIdHeader);
-    if (!is_name(out.id)) return error(kIdHeader, "missing, or no id");
+    if (!is_name(out.id)) return error(kIdHeader, "missing or not a valid id");
     out.class_name = headers.get(kClassHeader);
-    if (!is_name(out.class_name)) return error(kClassHeader, "missing, or no class");
+    if (!is_name(out.class_name)) return error(kClassHeader, "missing or not a valid class name");
     out.tenant = headers.get(kTenantHeader);
     out.idempotency_key = headers.get(kIdempotencyHeader);
     out.session = headers.get(kSessionHeader);
-    if (!out.session.empty() && !is_name(out.session)) return error(kSessionHeader, "no key");
+    if (!out.session.empty() && !is_name(out.session))
+        return error(kSessionHeader, "not a valid session key");
     const auto left = parse_time_remaining(headers.get(kTimeRemainingHeader));
-    if (!left) return error(kTimeRemainingHeader, "missing, or no time");
+    if (!left) return error(kTimeRemainingHeader, "missing or not a valid time");
     out.time_remaining = *left;
-    if (!read_facts(headers.get(kFactsHeader), out)) return error(kFactsHeader, "no facts");
+    if (!read_pairs(headers.get(kFactsHeader), out))
+        return error(kFactsHeader, "malformed list of name=value pairs");
     if (out.prompt_tokens == 0) out.prompt_tokens = static_cast<double>(request.body.size()) / kBytesPerToken;
     out.shared_tokens = std::min(out.shared_tokens, out.prompt_tokens);
     const auto repeat = headers.get(kRepeatHeader);
     out.retry = repeat == "1";
     out.resumes_stream = repeat == "again";
-    if (!repeat.empty() && !out.retry && !out.resumes_stream) return error(kRepeatHeader, "unknown word");
-    if (!is_json_object(request.body)) return error("body", "no JSON object");
+    if (!repeat.empty() && !out.retry && !out.resumes_stream) return error(kRepeatHeader, "unknown value");
+    if (!is_json_object(request.body)) return error("body", "not a JSON object");
     return out;
 }
 
@@ -134,8 +136,8 @@
     const char* const end = text.data() + text.size();
     const auto [stop, error] = std::from_chars(text.data(), end, number);
     if (error != std::errc{} || stop != end || number <= 0) return std::nullopt;
-    if (unit == 'm' && number <= kDayMs) return std::chrono::milliseconds(number);
-    if (unit == 'u' && number <= kDayMs * 1000) return std::chrono::microseconds(number);
+    if (unit == 'm' && number <= kMaxTimeRemainingMs) return std::chrono::milliseconds(number);
+    if (unit == 'u' && number <= kMaxTimeRemainingMs * 1000) return std::chrono::microseconds(number);
     return std::nullopt;
 }
 
--- a/src/platform/request.hpp
+++ b/src/platform/request.hpp
@@ -1,5 +1,5 @@
-// A client's request in the platform's protocol: the values of its headers, each validated, and the formats
-// of the headers and bodies that a gateway sends.
+// A client's request in the platform's protocol: validates and reads its headers, and formats the header
+// values and error bodies that a gateway sends.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -21,9 +21,10 @@
 inline constexpr std::string_view kTimeRemainingHeader = "X-Time-Left";
 inline constexpr std::string_view kFactsHeader = "X-Facts";
 inline constexpr std::string_view kRepeatHeader = "X-Repeat";
-// Forwarded unchanged: servers deduplicate requests of the classes that are idempotent by key.
+// Forwarded unchanged, as servers deduplicate by key the requests of classes that are idempotent by key.
 inline constexpr std::string_view kIdempotencyHeader = "Idempotency-Key";
 
+// The validated headers of a client's request.
 struct ClientRequest {
     std::string id;
     std::string class_name;
@@ -33,21 +34,21 @@
     std::string prefix;           // id of the prompt prefix that the request shares; empty: none
     Duration time_remaining{};    // until the client gives up
     double prompt_tokens = 0;
-    double shared_tokens = 0;  // of the prompt prefix; at most prompt_tokens
-    double max_output = 0;     // tokens
+    double shared_tokens = 0;  // tokens of the shared prompt prefix; at most prompt_tokens
+    double max_output = 0;     // maximum number of output tokens
     bool retry = false;
     bool resumes_stream = false;
 };
-// The error says which header is invalid, for a 400 response.
+// Validates and reads a request. The error names the invalid header, for a 400 response.
 [[nodiscard]] tl::expected<ClientRequest, std::string> read_request(const http::Request& request);
 
-// "4800m" (milliseconds), "350u" (microseconds). None for other text, 0, or more than a day.
+// Parses "4800m" (milliseconds) or "350u" (microseconds); nullopt for other text, 0, or more than a day.
 [[nodiscard]] std::optional<Duration> parse_time_remaining(std::string_view text);
-// In milliseconds, at least 1.
+// Formats the time in milliseconds, at least 1.
 [[nodiscard]] std::string format_time_remaining(Duration left);
-// In seconds, with three decimals.
+// Formats the duration in seconds, with three decimals.
 [[nodiscard]] std::string format_retry_after(Duration after);
-// The body of an error response.
+// Returns the body of an error response.
 [[nodiscard]] std::string format_error(std::string_view message);
 
 }  // namespace chalksail::platform
--- a/src/platform/settings.cpp
+++ b/src/platform/settings.cpp
@@ -8,7 +8,7 @@
 namespace chalksail::platform {
 namespace {
 
-// Two entries of one name would make a request's settings depend on their order.
+// Rejects duplicate names, which would make a request's settings depend on the order of the entries.
 template <class Entries>
 void reject_duplicate_names(const char* field, const Entries& entries) {
     std::set<std::string> names;
@@ -17,7 +17,7 @@
 }
 
 RequestClassSettings read_class(const Json& item) {
-    if (!item.IsObject()) reject("classes", "objects wanted");
+    if (!item.IsObject()) reject("classes", "must contain only objects");
     RequestClassSettings settings;
     settings.name = required<std::string>(item, "name");
     settings.first_token_objective = required<Duration>(item, "aim_ns");
@@ -37,7 +37,7 @@
     return settings;
 }
 
-// The token objectives stand in arrays of their own, in the order of the classes.
+// Reads the classes. Their token objectives are in separate arrays, in the order of the classes.
 void read_classes(const Json& options, const Json& extra, Settings& settings) {
     const auto per_1000_tokens_us = row<double>(extra, "aim_us_per_1000_prompt_tokens");
     const auto inter_token_ns = row<double>(extra, "token_aim_ns");
@@ -56,7 +56,7 @@
 Role read_role(const std::string& duty) {
     if (duty == "read") return Role::prefill;
     if (duty == "write") return Role::decode;
-    if (duty != "both") reject("duty_by_kind", "unknown word");
+    if (duty != "both") reject("duty_by_kind", "unknown value");
     return Role::mixed;
 }
 
@@ -65,7 +65,7 @@
     const auto duties = row<std::string>(extra, "duty_by_kind");
     const auto memory_tokens = row<double>(extra, "tokens_by_kind");
     for (std::size_t i = 0; i < names.size(); ++i) {
-        if (i >= duties.size()) reject("duty_by_kind", "one entry for each kind wanted");
+        if (i >= duties.size()) reject("duty_by_kind", "must have one entry for each kind in 'skus'");
         const double memory = i < memory_tokens.size() ? memory_tokens[i] : 0;
         settings.kinds.push_back({names[i], read_role(duties[i]), memory});
     }
@@ -74,15 +74,15 @@
 void read_tenants(const Json& options, Settings& settings) {
     const Json* tenants = find(options, "tenants");
     if (tenants == nullptr) return;
-    if (!tenants->IsArray()) reject("tenants", "array wanted");
+    if (!tenants->IsArray()) reject("tenants", "must be an array");
     for (const auto& item : tenants->GetArray()) {
-        if (!item.IsObject()) reject("tenants", "objects wanted");
+        if (!item.IsObject()) reject("tenants", "must contain only objects");
         settings.tenants.push_back(
             {required<std::string>(item, "name"), optional<double>(item, "quota_per_s")});
     }
 }
 
-// "x0" and "x1" are named by their descriptions.
+// Maps a field's name to its meaning. The fields "x0" and "x1" are identified by their descriptions.
 ReportField read_report_field(const std::string& name, const std::string& x0, const std::string& x1) {
     const auto meaning = name == "x0" ? x0 : name == "x1" ? x1 : name;
     if (meaning == "active") return ReportField::active;
@@ -134,7 +134,7 @@
 }  // namespace
 
 Settings read_settings(const Json& options) {
-    // The order decides which of several errors is reported.
+    // The order of the calls decides which of several errors is reported.
     Settings settings;
     const Json& extra = object(options, "extra");
     const Json& limits = object(options, "limits");
--- a/src/platform/settings.hpp
+++ b/src/platform/settings.hpp
@@ -1,5 +1,5 @@
-// The platform's `settings` object, which is also the simulator's start object, as the router's Settings. The
-// adapter and the gateway share this reader.
+// Converts the platform's `settings` object, which is also the simulator's start object, to the router's
+// Settings. Used by both the adapter and the gateway.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -8,7 +8,7 @@
 
 namespace chalksail::platform {
 
-// Throws BadField (fields.hpp), which names the member at fault. Unknown members are ignored.
+// Throws BadField (fields.hpp), which names the invalid member. Ignores unknown members.
 [[nodiscard]] Settings read_settings(const rapidjson::Value& options);
 
 }  // namespace chalksail::platform
