--- a/src/chat/collect.cpp
+++ b/src/chat/collect.cpp
@@ -5,8 +5,9 @@
 namespace chalksail::chat {
 namespace {
 
-// Members of a delta that each chunk has in full: a later one replaces an earlier.
-bool replaces(std::string_view name) {
+// Returns true for members that every chunk contains in full, so that a later value replaces an
+// earlier one.
+bool is_replaced(std::string_view name) {
     return name == "role" || name == "id" || name == "type" || name == "name" || name == "finish_reason" ||
            name == "stop_reason" || name == "index";
 }
@@ -17,7 +18,7 @@
     return out;
 }
 
-// Position of the element of `items` with this "index"; their number if there is none.
+// Returns the position of the element of `items` with this "index"; items.Size() if there is none.
 rapidjson::SizeType position_of(const json::Value* index, const json::Value& items) {
     rapidjson::SizeType found = items.Size();
     for (rapidjson::SizeType i = 0; index != nullptr && i < items.Size(); ++i)
@@ -44,7 +45,7 @@
             into.AddMember(copy_of(m.name, completion_), copy_of(m.value, completion_),
                            completion_.GetAllocator());
         else if (!m.value.IsNull())
-            merge(it->value, m.value, !replaces(json::text(m.name)), path + '/' + m.name.GetString());
+            merge(it->value, m.value, !is_replaced(json::text(m.name)), path + '/' + m.name.GetString());
     }
 }
 
@@ -64,8 +65,8 @@
     } else if (into.IsArray() && from.IsArray()) {
         merge_array(into, from, append_text, path);
     } else if (into.IsString() && from.IsString() && append_text) {
-        // Appended beside the tree: its pool frees nothing, and a copy for each chunk would take memory that
-        // grows with the square of the length.
+        // Appends outside the tree: its pool allocator frees nothing, so a copy for each chunk would take
+        // memory quadratic in the length of the text.
         const auto [it, added] = appended_texts_.try_emplace(path);
         if (added) it->second = json::text(into);
         it->second += json::text(from);
@@ -86,7 +87,8 @@
             into.AddMember(copy_of(m.name, completion_), copy_of(m.value, completion_),
                            completion_.GetAllocator());
         else if (!m.value.IsNull())
-            merge(it->value, m.value, !replaces(name), std::to_string(into["index"].GetInt()) + '/' + name);
+            merge(it->value, m.value, !is_replaced(name),
+                  std::to_string(into["index"].GetInt()) + '/' + name);
     }
     return true;
 }
@@ -128,7 +130,7 @@
     json::Value list(rapidjson::kArrayType);
     for (auto& [index, c] : choices_) {
         restore(c, std::to_string(index));
-        // The index that orders a delta's tool calls is no member of a finished message.
+        // The index that orders tool calls in deltas is not part of a complete message.
         if (auto& message = c["message"]; message.HasMember("tool_calls") && message["tool_calls"].IsArray())
             for (auto& call : message["tool_calls"].GetArray())
                 if (call.IsObject()) call.RemoveMember("index");
--- a/src/chat/request.cpp
+++ b/src/chat/request.cpp
@@ -16,38 +16,39 @@
 namespace {
 
 // A handler for rapidjson's reader that records where top-level members begin and end, and forwards every
-// event to the handler `to`: one pass gives both the tree and the offsets.
+// event to the handler `next`, so that one pass gives both the tree and the offsets.
 template <class Handler>
 class MemberHandler {
 public:
-    MemberHandler(std::string_view text, rapidjson::MemoryStream& stream, std::size_t max_depth, Handler& to)
-        : text_(text), stream_(stream), max_depth_(max_depth), to_(to) {}
-    bool Null() { return scalar() && to_.Null(); }
-    bool Bool(bool b) { return scalar() && to_.Bool(b); }
-    bool Int(int i) { return scalar() && to_.Int(i); }
-    bool Uint(unsigned u) { return scalar() && to_.Uint(u); }
-    bool Int64(std::int64_t i) { return scalar() && to_.Int64(i); }
-    bool Uint64(std::uint64_t u) { return scalar() && to_.Uint64(u); }
-    bool Double(double d) { return scalar() && to_.Double(d); }
+    MemberHandler(std::string_view text, rapidjson::MemoryStream& stream, std::size_t max_depth,
+                  Handler& next)
+        : text_(text), stream_(stream), max_depth_(max_depth), next_(next) {}
+    bool Null() { return scalar() && next_.Null(); }
+    bool Bool(bool b) { return scalar() && next_.Bool(b); }
+    bool Int(int i) { return scalar() && next_.Int(i); }
+    bool Uint(unsigned u) { return scalar() && next_.Uint(u); }
+    bool Int64(std::int64_t i) { return scalar() && next_.Int64(i); }
+    bool Uint64(std::uint64_t u) { return scalar() && next_.Uint64(u); }
+    bool Double(double d) { return scalar() && next_.Double(d); }
     bool RawNumber(const char* text, rapidjson::SizeType n, bool copy) {
-        return scalar() && to_.RawNumber(text, n, copy);
+        return scalar() && next_.RawNumber(text, n, copy);
     }
     bool String(const char* text, rapidjson::SizeType n, bool copy) {
-        return scalar() && to_.String(text, n, copy);
+        return scalar() && next_.String(text, n, copy);
     }
-    bool StartObject() { return open(true) && to_.StartObject(); }
-    bool StartArray() { return open(false) && to_.StartArray(); }
-    bool EndObject(rapidjson::SizeType n) { return close() && to_.EndObject(n); }
-    bool EndArray(rapidjson::SizeType n) { return close() && to_.EndArray(n); }
+    bool StartObject() { return open(true) && next_.StartObject(); }
+    bool StartArray() { return open(false) && next_.StartArray(); }
+    bool EndObject(rapidjson::SizeType n) { return close() && next_.EndObject(n); }
+    bool EndArray(rapidjson::SizeType n) { return close() && next_.EndArray(n); }
     bool Key(const char* name, rapidjson::SizeType length, bool copy) {
         if (depth_ == 1) begin_member({name, length});
-        return to_.Key(name, length, copy);
+        return next_.Key(name, length, copy);
     }
     std::vector<Member> members;
     bool object = false;
 
 private:
-    // Just after a top-level member's name has been read, closing quote included.
+    // Called after the reader has consumed a top-level member's name, including the closing quote.
     void begin_member(std::string_view name) {
         Member member;
         member.name = name;
@@ -56,7 +57,8 @@
         ++at;
         while (at < text_.size() && is_space(text_[at])) ++at;
         member.value = at;
-        // From the end of the last member, over its comma and white space, to this name's quote.
+        // Skips the comma and whitespace between the end of the previous member and this name's opening
+        // quote.
         std::size_t begin = members.empty() ? 0 : members.back().end;
         while (begin < text_.size() && text_[begin] != '"') ++begin;
         member.begin = begin;
@@ -70,7 +72,7 @@
     bool open(bool is_object) {
         if (depth_ == 0) {
             object = is_object;
-            // Releases of rapidjson differ in whether a bracket has been consumed when its event comes.
+            // Releases of rapidjson differ in whether a bracket has been consumed when its event is sent.
             bracket_consumed_ = stream_.Tell() > 0 && text_[stream_.Tell() - 1] == '{';
         }
         return ++depth_ <= max_depth_ && object;
@@ -85,7 +87,7 @@
     std::size_t max_depth_;
     std::size_t depth_ = 0;
     bool bracket_consumed_ = false;
-    Handler& to_;
+    Handler& next_;
 };
 
 ApiError invalid(std::string param, std::string message) {
@@ -94,19 +96,19 @@
 
 bool is_object_or_null(const json::Value& v) { return v.IsObject() || v.IsNull(); }
 
-constexpr double kLimitMost = 1e9;  // tokens; more is taken for a mistake
+constexpr double kMaxTokenLimit = 1e9;  // larger limits are rejected as mistakes
 
-// Reads a member that must be a whole number of at least 1, if it is there.
+// Reads an optional member that must be a whole number from 1 to kMaxTokenLimit.
 std::optional<ApiError> read_limit(const json::Value& body, const char* name, double& out) {
     const auto* value = json::find(body, name);
     if (value == nullptr) return std::nullopt;
-    if (!value->IsNumber() || value->GetDouble() < 1 || value->GetDouble() > kLimitMost ||
+    if (!value->IsNumber() || value->GetDouble() < 1 || value->GetDouble() > kMaxTokenLimit ||
         value->GetDouble() != std::floor(value->GetDouble()))
-        return invalid(name, std::string("'") + name + "' must be a whole number of at least 1");
+        return invalid(name, std::string("'") + name + "' must be a whole number from 1 to 1000000000");
     out = value->GetDouble();
     return std::nullopt;
 }
-// Reads a member that must be a boolean, if it is there. `path` names it in the error.
+// Reads an optional member that must be a boolean. The error names it by `path`.
 std::optional<ApiError> read_flag(const json::Value& body, const char* name, const std::string& path,
                                   bool& out) {
     const auto* value = json::find(body, name);
@@ -116,10 +118,12 @@
     return std::nullopt;
 }
 
-std::optional<ApiError> check_messages(const json::Value& messages, std::size_t most) {
+std::optional<ApiError> check_messages(const json::Value& messages, std::size_t max_messages) {
     if (!messages.IsArray() || messages.Empty())
         return invalid("messages", "'messages' must be a non-empty array");
-    if (messages.Size() > most) return invalid("messages", "more than " + std::to_string(most) + " messages");
+    if (messages.Size() > max_messages)
+        return invalid("messages",
+                       "'messages' must have at most " + std::to_string(max_messages) + " elements");
     for (rapidjson::SizeType i = 0; i < messages.Size(); ++i) {
         const std::string at = "messages[" + std::to_string(i) + "]";
         if (!messages[i].IsObject()) return invalid(at, "'" + at + "' must be an object");
@@ -133,7 +137,7 @@
     return std::nullopt;
 }
 
-// "stream" and "stream_options".
+// Reads "stream" and "stream_options".
 std::optional<ApiError> read_stream_options(const json::Document& body, Request& out) {
     if (auto error = read_flag(body, "stream", "stream", out.stream)) return error;
     const auto options = body.FindMember("stream_options");
@@ -141,7 +145,7 @@
     if (!is_object_or_null(options->value))
         return invalid("stream_options", "'stream_options' must be an object");
     if (!out.stream && options->value.IsObject())
-        return invalid("stream_options", "'stream_options' goes only with 'stream'");
+        return invalid("stream_options", "'stream_options' is only allowed when 'stream' is true");
     return read_flag(options->value, "include_usage", "stream_options.include_usage", out.include_usage);
 }
 
@@ -156,7 +160,7 @@
     return std::nullopt;
 }
 
-// Hash and length of the leading system and developer messages: the text that many prompts begin with.
+// Sets the hash and length of the leading system and developer messages, which many prompts have in common.
 void find_prefix(const json::Value& messages, Request& out) {
     std::string leading;
     for (const auto& m : messages.GetArray()) {
@@ -172,13 +176,13 @@
     out.prefix_bytes = leading.size();
 }
 
-// The tree of a JSON object and the offsets of its top-level members, in one pass.
+// Parses a JSON object into `doc` and returns the offsets of its top-level members, in one pass.
 std::optional<std::vector<Member>> read_members(std::string_view body, std::size_t depth,
                                                 json::Document& doc) {
     std::optional<std::vector<Member>> out;
-    auto generate = [&](json::Document& to) {
+    auto generate = [&](json::Document& tree) {
         rapidjson::MemoryStream stream(body.data(), body.size());
-        MemberHandler<json::Document> handler(body, stream, depth, to);
+        MemberHandler<json::Document> handler(body, stream, depth, tree);
         rapidjson::Reader reader;
         reader.Parse<json::kFlags>(stream, handler);
         if (reader.HasParseError() || !handler.object) return false;
@@ -213,7 +217,7 @@
     out.members = std::move(*members);
     const auto* model = json::find(doc, "model");
     if (model == nullptr || !model->IsString() || model->GetStringLength() == 0)
-        return tl::unexpected(invalid("model", "'model' must be a string"));
+        return tl::unexpected(invalid("model", "'model' must be a non-empty string"));
     out.model = json::text(*model);
     const auto messages = doc.FindMember("messages");
     if (messages == doc.MemberEnd()) return tl::unexpected(invalid("messages", "'messages' is missing"));
@@ -233,17 +237,17 @@
                     const std::vector<Override>& overrides) {
     std::string out = "{";
     out.reserve(body.size() + 256);
-    const auto put = [&](std::string_view member) {
+    const auto append = [&](std::string_view member) {
         if (out.size() > 1) out += ',';
         out += member;
     };
     for (const auto& m : members) {
         const bool replaced =
             std::any_of(overrides.begin(), overrides.end(), [&](const auto& o) { return o.name == m.name; });
-        if (!replaced) put(body.substr(m.begin, m.end - m.begin));
+        if (!replaced) append(body.substr(m.begin, m.end - m.begin));
     }
     for (const auto& o : overrides)
-        if (o.json) put("\"" + o.name + "\":" + *o.json);
+        if (o.json) append("\"" + o.name + "\":" + *o.json);
     return out + "}";
 }
 
--- a/src/chat/sse.cpp
+++ b/src/chat/sse.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Position of the first line end in `bytes`. Uses memchr, as a search for either of two characters costs
-// several times more, and this is done for every streamed byte.
+// Returns the position of the first line end in `bytes`. Uses memchr, because a search for either of two
+// characters costs several times more, and this search covers every streamed byte.
 std::size_t find_line_end(std::string_view bytes) {
     const auto find = [](std::string_view in, char c) {
         const void* const at = in.empty() ? nullptr : std::memchr(in.data(), c, in.size());
--- a/src/chat/sse.hpp
+++ b/src/chat/sse.hpp
@@ -1,5 +1,5 @@
-// Server-sent events: an incremental reader, and the formatting of events. Any split of the input gives the
-// same events; one event's data is bounded. No I/O, no threads.
+// Reads and formats server-sent events. Reading is incremental: any split of the input gives the same events.
+// The size of an event is bounded. No I/O, no threads.
 #pragma once
 
 #include <optional>
@@ -12,14 +12,15 @@
 // Reads one stream of events.
 class SseReader {
 public:
-    // `max_bytes`: of one event's data and of a line.
+    // `max_bytes` is the maximum size of one event's data and the current line together.
     explicit SseReader(std::size_t max_bytes) : max_bytes_(max_bytes) {}
-    // The data of each event that `bytes` complete, in order. After an overflow no more events are returned.
+    // Returns the data of each event that `bytes` complete, in order; none after an overflow.
     [[nodiscard]] std::vector<std::string> feed(std::string_view bytes);
-    // Has an event been longer than the bound?
+    // Returns true if an event exceeded the maximum size.
     [[nodiscard]] bool overflowed() const { return overflowed_; }
 
 private:
+    // Processes a complete line; an empty one ends the event, whose data is appended to `out`.
     void end_line(std::vector<std::string>& out);
 
     std::size_t max_bytes_;
@@ -33,7 +34,7 @@
 // The data of the event that ends a stream of chunks.
 inline constexpr std::string_view kDone = "[DONE]";
 
-// One event, "data: ...\n\n"; line breaks inside become further data lines.
+// Formats one event, "data: ...\n\n". A line break in the data begins another data line.
 [[nodiscard]] std::string format_event(std::string_view data);
 
 }  // namespace chalksail::chat
--- a/src/observe/event_loop_lag.hpp
+++ b/src/observe/event_loop_lag.hpp
@@ -1,5 +1,5 @@
-// Detects slow turns of an event loop: while one lasts, answers, deadlines and clients' closes wait. No
-// clock, no I/O; not thread-safe.
+// Detects slow iterations of an event loop, which delay responses, deadlines and the handling of disconnected
+// clients. No clock, no I/O; not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -13,25 +13,27 @@
 class EventLoopLag {
 public:
     struct Report {
-        Duration longest{};       // of the turns since the last report
-        std::uint64_t count = 0;  // how many of them were slow
+        Duration longest{};       // longest slow iteration since the last report
+        std::uint64_t count = 0;  // number of slow iterations since the last report
     };
 
-    // To be called after each turn. Returns what is to be logged, at most once in kReportPause.
-    [[nodiscard]] std::optional<Report> ended(Time begun, Time now) {
-        const Duration taken = now - begun;
-        if (taken >= kSlow) {
+    // Must be called after each iteration. Returns a report to be logged, at most one for each
+    // kReportInterval.
+    [[nodiscard]] std::optional<Report> ended(Time started_at, Time now) {
+        const Duration duration = now - started_at;
+        if (duration >= kSlowIteration) {
             pending_.count += 1;
-            pending_.longest = std::max(pending_.longest, taken);
+            pending_.longest = std::max(pending_.longest, duration);
         }
-        if (pending_.count == 0 || (reported_at_ && now < *reported_at_ + kReportPause)) return std::nullopt;
+        if (pending_.count == 0 || (reported_at_ && now < *reported_at_ + kReportInterval))
+            return std::nullopt;
         reported_at_ = now;
         return std::exchange(pending_, {});
     }
 
-    // The rules leave 0.1 s between a client's close and the last attempt that may begin for it.
-    static constexpr Duration kSlow = std::chrono::milliseconds(50);
-    static constexpr Duration kReportPause = std::chrono::seconds(1);
+    // The rules forbid a new attempt later than 0.1 s after a client's disconnect.
+    static constexpr Duration kSlowIteration = std::chrono::milliseconds(50);
+    static constexpr Duration kReportInterval = std::chrono::seconds(1);
 
 private:
     Report pending_;
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -88,7 +88,7 @@
     return action != KvReservationAction::reserved && action != KvReservationAction::fetched;
 }
 
-// Calls that each server gets again and again.
+// Returns true for calls that are made to each server repeatedly.
 bool is_periodic(ServerAction action) {
     return action == ServerAction::health_check || action == ServerAction::release;
 }
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -13,8 +13,9 @@
 namespace chalksail::observe {
 namespace {
 
-const prometheus::Histogram::BucketBoundaries kSeconds = {0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25,
-                                                          0.5,   1,      2.5,   5,    10,    30,   60};
+// Bucket boundaries in seconds.
+const prometheus::Histogram::BucketBoundaries kDurationBuckets = {
+    0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60};
 
 }  // namespace
 
@@ -24,14 +25,15 @@
     prometheus::Family<prometheus::Counter>& attempts;
     prometheus::Family<prometheus::Counter>& servers;
     prometheus::Family<prometheus::Counter>& endpoint_lists;
-    prometheus::Family<prometheus::Counter>& held;
+    prometheus::Family<prometheus::Counter>& kv_reservations;
     prometheus::Family<prometheus::Counter>& guards;
     prometheus::Family<prometheus::Histogram>& first_token;
     prometheus::Family<prometheus::Histogram>& attempt_seconds;
     std::map<std::string, prometheus::Family<prometheus::Gauge>*> gauges;
-    // What is counted by server, to be dropped with it: new servers come without end.
+    // The counters labelled with each server, which are removed with it: as servers are replaced all the
+    // time, their number would grow without bound.
     std::map<std::string, std::set<std::pair<prometheus::Family<prometheus::Counter>*, prometheus::Counter*>>>
-        by_server;
+        counters_by_server;
     std::string gateway;
 
     void count(const RequestRecord& record);
@@ -44,19 +46,20 @@
     explicit Families(const std::string& name)
         : requests(prometheus::BuildCounter()
                        .Name("chalksail_requests_total")
-                       .Help("Requests that ended, by class, fate (served, refused, failed, client_gone, "
+                       .Help("Completed requests, by class, fate (served, refused, failed, client_gone, "
                              "rejected) and reason")
                        .Labels({{"gateway", name}})
                        .Register(registry)),
-          attempts(prometheus::BuildCounter()
-                       .Name("chalksail_attempts_total")
-                       .Help("Attempts that ended, by server, stage (read, write) and outcome")
-                       .Labels({{"gateway", name}})
-                       .Register(registry)),
+          attempts(
+              prometheus::BuildCounter()
+                  .Name("chalksail_attempts_total")
+                  .Help("Completed attempts, by server, stage (read: prefill, write: decode) and outcome")
+                  .Labels({{"gateway", name}})
+                  .Register(registry)),
           servers(prometheus::BuildCounter()
                       .Name("chalksail_server_events_total")
-                      .Help("List changes, probes and let-go calls, by server; release/none: the engine lets "
-                            "go of nothing")
+                      .Help("Endpoint changes, health checks and release calls, by server; release with "
+                            "result none: the engine has no release call")
                       .Labels({{"gateway", name}})
                       .Register(registry)),
           endpoint_lists(prometheus::BuildCounter()
@@ -64,24 +67,26 @@
                              .Help("Updates of the endpoint list, by kind (delta, snapshot, cached_snapshot)")
                              .Labels({{"gateway", name}})
                              .Register(registry)),
-          held(prometheus::BuildCounter()
-                   .Name("chalksail_held_total")
-                   .Help("Steps in the life of read states and places held at servers, by step and reason")
-                   .Labels({{"gateway", name}})
-                   .Register(registry)),
-          guards(prometheus::BuildCounter()
-                     .Name("chalksail_guards_total")
-                     .Help("Actions that a rule forbids, stopped at the edge. Above 0: report it")
-                     .Labels({{"gateway", name}})
-                     .Register(registry)),
+          kv_reservations(
+              prometheus::BuildCounter()
+                  .Name("chalksail_held_total")
+                  .Help("Changes of KV states and capacity reservations at servers, by change and reason")
+                  .Labels({{"gateway", name}})
+                  .Register(registry)),
+          guards(
+              prometheus::BuildCounter()
+                  .Name("chalksail_guards_total")
+                  .Help("Router actions that violate a rule and were blocked. Above 0: please report a bug")
+                  .Labels({{"gateway", name}})
+                  .Register(registry)),
           first_token(prometheus::BuildHistogram()
                           .Name("chalksail_first_token_seconds")
-                          .Help("From a request's arrival to its first chunk, by class")
+                          .Help("Time from the arrival of a request to its first chunk, by class")
                           .Labels({{"gateway", name}})
                           .Register(registry)),
           attempt_seconds(prometheus::BuildHistogram()
                               .Name("chalksail_attempt_seconds")
-                              .Help("Length of attempts, by stage")
+                              .Help("Duration of attempts, by stage")
                               .Labels({{"gateway", name}})
                               .Register(registry)),
           gateway(name) {}
@@ -101,7 +106,8 @@
               {"reason", std::string(name(record.reason))}})
         .Increment();
     if (record.first_token > Duration::zero())
-        first_token.Add({{"class", record.class_name}}, kSeconds).Observe(seconds(record.first_token));
+        first_token.Add({{"class", record.class_name}}, kDurationBuckets)
+            .Observe(seconds(record.first_token));
 }
 
 void Metrics::Families::count(const AttemptRecord& record) {
@@ -109,19 +115,20 @@
     auto& counter =
         attempts.Add({{"server", record.server}, {"stage", stage}, {"outcome", std::string(record.outcome)}});
     counter.Increment();
-    by_server[record.server].emplace(&attempts, &counter);
-    attempt_seconds.Add({{"stage", stage}}, kSeconds).Observe(seconds(record.duration));
+    counters_by_server[record.server].emplace(&attempts, &counter);
+    attempt_seconds.Add({{"stage", stage}}, kDurationBuckets).Observe(seconds(record.duration));
 }
 
 void Metrics::Families::count(const ServerRecord& record) {
-    // Only these have few results: others carry addresses and errors, one time series for each.
+    // Only these have a small set of results. The details of other actions are addresses and errors, each of
+    // which would create a time series.
     const bool has_result =
         record.action == ServerAction::health_check || record.action == ServerAction::release;
     auto& counter = servers.Add({{"server", record.server},
                                  {"what", std::string(name(record.action))},
                                  {"result", has_result ? record.detail : ""}});
     counter.Increment();
-    by_server[record.server].emplace(&servers, &counter);
+    counters_by_server[record.server].emplace(&servers, &counter);
 }
 
 void Metrics::Families::count(const EndpointListRecord& record) {
@@ -129,7 +136,8 @@
 }
 
 void Metrics::Families::count(const KvReservationRecord& record) {
-    held.Add({{"what", std::string(name(record.action))}, {"reason", std::string(name(record.reason))}})
+    kv_reservations
+        .Add({{"what", std::string(name(record.action))}, {"reason", std::string(name(record.reason))}})
         .Increment();
 }
 
@@ -138,10 +146,10 @@
 }
 
 void Metrics::forget(const std::string& server) {
-    const auto it = families_->by_server.find(server);
-    if (it == families_->by_server.end()) return;
+    const auto it = families_->counters_by_server.find(server);
+    if (it == families_->counters_by_server.end()) return;
     for (const auto& [family, counter] : it->second) family->Remove(counter);
-    families_->by_server.erase(it);
+    families_->counters_by_server.erase(it);
 }
 
 void Metrics::set(const std::string& gauge, double value) {
--- a/src/observe/metrics.hpp
+++ b/src/observe/metrics.hpp
@@ -1,5 +1,5 @@
-// Counters, gauges and histograms, made of the same records as the logs, on prometheus-cpp. Each is
-// documented where it is defined (metrics.cpp) and by the help text on the page. Not thread-safe; no errors.
+// Counters, gauges and histograms (prometheus-cpp), derived from the same records as the logs. Each metric is
+// documented by its help text, in metrics.cpp and on the page. Not thread-safe; no errors.
 #pragma once
 
 #include <map>
@@ -14,13 +14,13 @@
 public:
     explicit Metrics(const std::string& gateway);
     ~Metrics();
-    // Adds one record to the counters and histograms that it belongs to.
+    // Updates the counters and histograms for one record.
     void count(const Record& record);
     // Drops the time series of a server that was removed.
     void forget(const std::string& server);
     // Sets the gauge chalksail_<gauge>.
     void set(const std::string& gauge, double value);
-    // The text page, in Prometheus's exposition format.
+    // Returns the metrics page in the Prometheus text format.
     [[nodiscard]] std::string page() const;
 
 private:
--- a/src/observe/record.hpp
+++ b/src/observe/record.hpp
@@ -1,9 +1,9 @@
 // Records of what the gateway's core did: plain values, one for each request, attempt, endpoint event, change
 // of a KV reservation and blocked action.
 //
-// Logs (log.hpp) and metrics (metrics.hpp) are both derived from them, so that they agree. States and reasons
-// are enums; name() returns the text used in log lines and metric labels. No I/O, no
-// state; values may be passed between threads.
+// Logs (log.hpp) and metrics (metrics.hpp) are both derived from the records, so that they agree. States and
+// reasons are enums; name() returns the text used in log lines and metric labels. No I/O, no state; values
+// may be passed between threads.
 #pragma once
 
 #include <chalksail/chalksail.hpp>
@@ -37,7 +37,7 @@
     refused,      // not run, because this gateway is draining or no capacity was available
     failed,       // the servers failed, or the deadline passed
     client_gone,  // the client disconnected
-    rejected,     // invalid (4xx), found by this gateway's checks or by an engine's
+    rejected,     // invalid (4xx), according to this gateway or an engine
 };
 [[nodiscard]] std::string_view name(Termination termination);
 
@@ -52,8 +52,8 @@
     deadline,                     // failed: its deadline passed
     drain_expired,                // failed: the time for draining ended before the request did
     stream_migrated,              // failed: the stream was closed so that its client resumes it elsewhere
-    broken_stream,                // failed: the response broke off
-    stream_timeout,               // failed: the response took too long, or was silent too long
+    broken_stream,                // failed: the response was incomplete
+    stream_timeout,               // failed: the response took too long, or no chunk arrived for too long
     served,                       // served
     disconnected_before_attempt,  // client_gone: no attempt was in flight
     disconnected_during_attempt,  // client_gone: an attempt was in flight without a response yet
@@ -75,13 +75,13 @@
     int status = 0;  // HTTP status of the response to the client; 0: none
     TerminationReason reason = TerminationReason::served;
     Duration total{};
-    Duration first_token{};             // zero: none
-    double prompt_tokens = 0;           // as estimated
-    double reported_prompt_tokens = 0;  // as the engine counted them; 0: not reported
+    Duration first_token{};             // time to the first token; zero: none
+    double prompt_tokens = 0;           // estimate
+    double reported_prompt_tokens = 0;  // the engine's count; 0: not reported
     double completion_tokens = 0;
     std::int64_t chunks = 0;
     bool streamed = false;
-    // The attempts in order: "reader-1:read:read/12ms writer-2:write:ok/340ms".
+    // The attempts in order, for example "reader-1:read:read/12ms writer-2:write:ok/340ms".
     std::string attempt_history;
 };
 
@@ -95,8 +95,8 @@
     release,         // a release call ended; detail: ok, failed, none (the engine has no such call)
     verified,        // TLS verification of the server's name succeeded again
     not_verified,    // TLS verification of the server's name failed; detail: the error
-    cache_events,    // detail: told (its cache reports are used), guessed (its cache is estimated)
-    cache_snapshot,  // the stored snapshot was not usable; detail: the reason
+    cache_events,    // source of the cache contents; detail: told (its reports are used), guessed (estimated)
+    cache_snapshot,  // the stored snapshot of its cache was not usable; detail: the reason
 };
 [[nodiscard]] std::string_view name(ServerAction action);
 
@@ -105,7 +105,7 @@
 struct ServerRecord {
     std::string server;
     ServerAction action = ServerAction::up;
-    std::string detail;  // for list entries: the address, or that a snapshot no longer lists the server
+    std::string detail;  // for endpoint changes: the address, or that a snapshot no longer lists the server
 };
 
 // An update of the endpoint list that has been applied.
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -10,7 +10,7 @@
 
 constexpr mdb_mode_t kFileMode = 0600;
 
-// Throws for every LMDB return code but success.
+// Throws StoreError for every LMDB return code except success.
 void check(int code, const char* operation, StoreError::Kind kind = StoreError::Kind::io) {
     if (code == MDB_SUCCESS) return;
     if (code == MDB_MAP_FULL) kind = StoreError::Kind::full;
@@ -21,7 +21,7 @@
     return {static_cast<const char*>(value.mv_data), value.mv_size};
 }
 
-// Aborted at the end of its scope unless it was committed.
+// An LMDB transaction that is aborted at the end of its scope unless it was committed.
 class Transaction {
 public:
     Transaction(MDB_env* environment, unsigned flags) {
@@ -65,7 +65,7 @@
 
     [[nodiscard]] MDB_env* environment() const { return environment_; }
     [[nodiscard]] MDB_dbi table() const { return table_; }
-    // Bytes that the pages in use take in the file.
+    // Returns the number of bytes that the pages in use occupy in the file.
     [[nodiscard]] std::size_t bytes_in_use() const {
         MDB_envinfo info{};
         MDB_stat stat{};
@@ -101,8 +101,8 @@
     database_ = std::make_unique<Database>(file, max_bytes);
     // Guards against a truncated file: reading a page beyond its end would kill the process by SIGBUS.
     if (std::filesystem::file_size(file) < database_->bytes_in_use())
-        throw StoreError(StoreError::Kind::unusable, "the file is cut short");
-    (void)all();  // reads every page, so that damage shows here
+        throw StoreError(StoreError::Kind::unusable, "the file is truncated");
+    (void)all();  // reads every value, so that a damaged file is detected here
 }
 
 std::map<std::string, std::string> Store::all() const {
@@ -121,7 +121,7 @@
 
 void Store::put(std::string_view key, std::string_view value) {
     if (key.empty() || key.size() > kMaxKeyBytes)
-        throw StoreError(StoreError::Kind::invalid_key, "a name of a wrong length");
+        throw StoreError(StoreError::Kind::invalid_key, "the key is empty or longer than 500 bytes");
     Transaction transaction(database_->environment(), 0);
     MDB_val key_bytes = to_value(key);
     MDB_val value_bytes = to_value(value);
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -1,9 +1,9 @@
-// An embedded key-value store (LMDB): one file in a folder, one writer, values replaced as a whole. It holds
-// what a program can do without but would like to find again after a restart.
+// An embedded key-value store (LMDB): one file in a folder, one writer, values replaced as a whole. Intended
+// for data that a program can do without but benefits from after a restart.
 //
-// A file that cannot be used is renamed to "values.mdb.unusable" and replaced by an empty one. Writes block
-// until the page cache has them; only flush() waits for the disk, so that after a power failure the newest
-// values may be missing. Not thread-safe. Errors are StoreError.
+// An unusable file is renamed to "values.mdb.unusable" and replaced by an empty one. Writes block until they
+// are in the page cache; only flush() waits for the disk, so the newest values may be missing after a power
+// failure. Not thread-safe. Errors are StoreError.
 #pragma once
 
 #include <cstddef>
@@ -19,7 +19,7 @@
 public:
     enum class Kind {
         unusable,     // the folder or the file cannot be opened
-        full,         // the value does not fit below the store's size limit
+        full,         // the value would exceed the store's size limit
         invalid_key,  // empty, or over kMaxKeyBytes
         io,           // reading, writing or flushing failed
     };
@@ -35,22 +35,22 @@
 
 class Store {
 public:
-    // Creates the folder if needed. `max_bytes`: limit of the file's size. Throws StoreError when the folder
-    // cannot be used or another process has the store open.
+    // Creates the folder if needed. `max_bytes` is the maximum size of the file. Throws StoreError when the
+    // folder cannot be used or another process has the store open.
     Store(const std::string& folder, std::size_t max_bytes);
     ~Store();
     Store(const Store&) = delete;
     Store& operator=(const Store&) = delete;
 
-    // All keys and their values.
+    // Returns all keys and their values.
     [[nodiscard]] std::map<std::string, std::string> all() const;
-    // Sets the value of `key`. Throws StoreError when it is not written; the former value stays then.
+    // Sets the value of `key`. Throws StoreError if the write fails; the previous value is kept then.
     void put(std::string_view key, std::string_view value);
-    // Does nothing if there is no such key.
+    // Removes `key`; does nothing if it does not exist.
     void erase(std::string_view key);
-    // Returns once everything written so far is on the disk.
+    // Blocks until all earlier writes are on the disk.
     void flush();
-    // True if the file that was there could not be used and was renamed.
+    // Returns true if the existing file was unusable and has been renamed.
     [[nodiscard]] bool set_aside() const { return set_aside_; }
 
 private:
--- a/tests/chat/chat_test.cpp
+++ b/tests/chat/chat_test.cpp
@@ -1,4 +1,4 @@
-// The chat codec: members cut and put to the byte, events in any split, answers put together.
+// The chat codec: offsets and rewriting of members, event streams in any split, joining of chunks.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -27,7 +27,7 @@
     EXPECT_EQ(body.substr((*members)[2].value, (*members)[2].end - (*members)[2].value), "-1.50e2");
 }
 
-TEST(ChatRequest, RewriteKeepsEveryOtherByte) {
+TEST(ChatRequest, RewriteKeepsAllOtherBytes) {
     const std::string body = R"({"model":"m","n" : 1.0,"stream":true,"x":{"y": [1,2.50]},"stream":false})";
     const auto out =
         rewrite(body, *members_of(body), {{"stream", "true"}, {"n", std::nullopt}, {"new", "[]"}});
@@ -35,13 +35,13 @@
     EXPECT_EQ(rewrite("{}", *members_of("{}"), {{"a", "1"}}), R"({"a":1})");
 }
 
-TEST(ChatRequest, NotOneObjectIsRefused) {
+TEST(ChatRequest, InvalidObjectsAreRejected) {
     for (const char* bad : {"", "[]", "1", "{", "{}x", "{\"a\":}", "\"x\"", "{\"a\":\"\xff\"}"})
         EXPECT_FALSE(members_of(bad)) << bad;
     EXPECT_FALSE(members_of("{\"a\":" + std::string(100, '[') + std::string(100, ']') + "}", 64));
 }
 
-TEST(ChatRequest, GivesWhatThePolicyNeeds) {
+TEST(ChatRequest, ParsesTheFieldsForRouting) {
     const std::string body =
         R"({"model":"m","stream":true,"stream_options":{"include_usage":true},"max_tokens":5,"max_completion_tokens":9,
         "user":"u","prompt_cache_key":"s1","messages":[{"role":"system","content":"be kind"},{"role":"user","content":"hi"}]})";
@@ -52,7 +52,8 @@
     EXPECT_EQ(r->session, "s1");
     EXPECT_EQ(r->prefix.size(), 16U);
     EXPECT_GT(r->prompt_bytes, r->prefix_bytes);
-    // The same leading text is the same prefix, whatever follows; other leading text is another.
+    // Equal leading texts give the same prefix, whatever follows; different leading texts give different
+    // ones.
     const auto with = [](const std::string& system, const std::string& user) {
         return parse_request(R"({"model":"m","messages":[{"role":"system","content":")" + system +
                              R"("},{"role":"user","content":")" + user + R"("}]})")
@@ -63,7 +64,7 @@
     EXPECT_TRUE(parse_request(R"({"model":"m","messages":[{"role":"user","content":"x"}]})")->prefix.empty());
 }
 
-TEST(ChatRequest, FieldAtFault) {
+TEST(ChatRequest, ErrorsNameTheInvalidField) {
     const auto param = [](const std::string& more) {
         const auto r =
             parse_request(R"({"model":"m","messages":[{"role":"user","content":"x"}])" + more + "}");
@@ -93,13 +94,13 @@
     }
 }
 
-TEST(Sse, EventsAreBounded) {
+TEST(Sse, EventSizeIsBounded) {
     SseReader reader(100);
     for (int i = 0; i < 50; ++i) (void)reader.feed("data: 12345678\n");
     EXPECT_TRUE(reader.overflowed());
 }
 
-TEST(Sse, WrittenEventsComeBack) {
+TEST(Sse, FormattedEventsAreReadBack) {
     EXPECT_TRUE(rc::check("format then read", [](const std::vector<std::uint8_t>& raw) {
         std::string data;
         for (const auto c : raw) data += static_cast<char>('\n' + c % 80);
@@ -112,7 +113,7 @@
     }));
 }
 
-TEST(Collect, ToolCallsLogprobsAndUnknownFieldsComeTogether) {
+TEST(Collect, JoinsToolCallsLogprobsAndUnknownFields) {
     Collector c(10'000);
     EXPECT_TRUE(c.add(
         R"({"id":"x","object":"chat.completion.chunk","model":"m","choices":[{"index":0,"delta":{"role":"assistant","content":"","reasoning_content":"th"}}],"system_fingerprint":"f"})"));
@@ -140,7 +141,7 @@
     EXPECT_EQ(d["choices"][1]["message"]["content"], "second");
 }
 
-TEST(Collect, BoundedAndChecked) {
+TEST(Collect, OversizedAndMalformedChunksAreRejected) {
     Collector c(100);
     EXPECT_TRUE(c.add(R"({"choices":[]})"));
     EXPECT_FALSE(c.add(std::string(200, ' ')));
--- a/tests/engine/engine_test.cpp
+++ b/tests/engine/engine_test.cpp
@@ -1,4 +1,5 @@
-// What proves that nothing ran, over the whole table; and the engines' words.
+// Which observations prove that an attempt did not run, over all combinations; parsing of the engines'
+// messages.
 #include <gtest/gtest.h>
 
 #include "engine/outcome.hpp"
@@ -12,32 +13,32 @@
                                     ExchangeEnd::connection_closed, ExchangeEnd::malformed_response,
                                     ExchangeEnd::timed_out,         ExchangeEnd::cancelled};
 
-TEST(AttemptOutcome, NothingThatWasSentIsProvedNotToHaveRunButByTheEnginesWord) {
+TEST(AttemptOutcome, SentAttemptIsProvedNotRunOnlyByTheEnginesReport) {
     for (const auto ending : kEndings)
-        for (const bool read : {false, true})
+        for (const bool prefill : {false, true})
             for (const bool started : {false, true})
-                for (const bool whole : {false, true})
+                for (const bool complete : {false, true})
                     for (const int status : {0, 200, 204, 301, 400, 404, 408, 422, 429, 500, 503}) {
-                        AttemptObservation f{ending,          true, read, started, whole, status,
-                                             NotRun::unknown, false};
-                        EXPECT_FALSE(proves_not_run(classify(f).outcome))
+                        AttemptObservation observation{ending,   true,   prefill,         started,
+                                                       complete, status, NotRun::unknown, false};
+                        EXPECT_FALSE(proves_not_run(classify(observation).outcome))
                             << static_cast<int>(ending) << ' ' << status;
                     }
 }
 
-TEST(AttemptOutcome, NoByteOutIsProof) {
+TEST(AttemptOutcome, AttemptWithoutASentByteIsProvedNotRun) {
     for (const auto ending : kEndings) {
         if (ending == ExchangeEnd::response_received || ending == ExchangeEnd::malformed_response) continue;
-        AttemptObservation f;
-        f.ending = ending;
-        EXPECT_TRUE(proves_not_run(classify(f).outcome)) << static_cast<int>(ending);
+        AttemptObservation observation;
+        observation.ending = ending;
+        EXPECT_TRUE(proves_not_run(classify(observation).outcome)) << static_cast<int>(ending);
     }
 }
 
-TEST(AttemptOutcome, Table) {
-    const auto of = [](ExchangeEnd ending, bool read, bool started, bool whole, int status,
-                       NotRun word = NotRun::unknown, bool by_settings = false) {
-        return classify({ending, true, read, started, whole, status, word, by_settings});
+TEST(AttemptOutcome, ClassifiesByEndingAndStatus) {
+    const auto of = [](ExchangeEnd ending, bool prefill, bool started, bool complete, int status,
+                       NotRun not_run = NotRun::unknown, bool not_run_status = false) {
+        return classify({ending, true, prefill, started, complete, status, not_run, not_run_status});
     };
     EXPECT_EQ(of(ExchangeEnd::response_received, true, false, true, 200).outcome, AttemptOutcome::prefilled);
     EXPECT_EQ(of(ExchangeEnd::response_received, false, true, true, 200).outcome, AttemptOutcome::ok);
@@ -55,12 +56,13 @@
     EXPECT_TRUE(of(ExchangeEnd::response_received, false, false, false, 422).client_error);
     EXPECT_FALSE(of(ExchangeEnd::response_received, false, false, false, 429).client_error);
     EXPECT_FALSE(of(ExchangeEnd::response_received, false, false, false, 401).client_error);
-    // The word counts only in a whole answer with an error status: not where a stream had begun.
+    // The not-run header counts only in a complete response with an error status, not in one whose
+    // connection was closed early.
     EXPECT_EQ(of(ExchangeEnd::connection_closed, false, false, false, 503, NotRun::at_capacity).outcome,
               AttemptOutcome::reset);
 }
 
-TEST(Protocol, LoadFiguresByPublishedNames) {
+TEST(Protocol, LoadReportsAreParsedByMetricName) {
     const auto text =
         parse_load_header("TEXT num_requests_running=3, num_requests_waiting=2 ,kv_cache_usage_perc=0.25");
     EXPECT_EQ(text.report(), (std::vector<double>{5, 0.25}));
@@ -81,7 +83,7 @@
     EXPECT_NEAR(page.report()[1], 0.3, 1e-9);
 }
 
-TEST(Protocol, ChunksAreKnownWithoutReadingEach) {
+TEST(Protocol, ChunksAreClassified) {
     EXPECT_EQ(read_chunk("[DONE]").kind, ChunkKind::done);
     EXPECT_EQ(read_chunk(R"({"choices":[{"delta":{"content":"\"usage\":{"}}]})").kind, ChunkKind::chunk);
     EXPECT_EQ(read_chunk(R"({"choices":[],"usage":{"prompt_tokens":4,"completion_tokens":2}})")
@@ -93,17 +95,17 @@
     EXPECT_EQ(read_chunk(R"({"usage":)").kind, ChunkKind::broken);
 }
 
-TEST(Protocol, ReadAnswers) {
-    const auto a = parse_prefill_response(
+TEST(Protocol, PrefillResponsesAreParsed) {
+    const auto response = parse_prefill_response(
         R"({"usage":{"prompt_tokens":9,"prompt_tokens_details":{"cached_tokens":4}},"kv_transfer_params":{"remote_block_ids":[1],"x":null}})");
-    ASSERT_TRUE(a);
-    EXPECT_EQ(a->prompt_tokens, 9);
-    EXPECT_EQ(a->cached_tokens, 4);
+    ASSERT_TRUE(response);
+    EXPECT_EQ(response->prompt_tokens, 9);
+    EXPECT_EQ(response->cached_tokens, 4);
     const auto without_count =
         parse_prefill_response(R"({"usage":{"prompt_tokens":9},"kv_transfer_params":{}})");
     ASSERT_TRUE(without_count);
     EXPECT_FALSE(without_count->cached_tokens);
-    EXPECT_EQ(a->kv_params, R"({"remote_block_ids":[1],"x":null})");
+    EXPECT_EQ(response->kv_params, R"({"remote_block_ids":[1],"x":null})");
     for (const char* bad : {"", "{}", "[]", R"({"kv_transfer_params":null})", R"({"kv_transfer_params":[]})"})
         EXPECT_FALSE(parse_prefill_response(bad)) << bad;
 }
--- a/tests/engine/vocabulary_test.cpp
+++ b/tests/engine/vocabulary_test.cpp
@@ -1,4 +1,4 @@
-// Token ids as text, and prompts as the model's template renders them.
+// Conversion of token ids to text, and rendering of prompts by the model's template.
 #include "engine/vocabulary.hpp"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
     return out;
 }
 
-// The space is U+0120, the line break U+010A, the bytes of "é" U+00C3 and U+00A9.
+// In the byte-level alphabet a space is U+0120, a line break U+010A, and the bytes of "é" U+00C3 and U+00A9.
 TEST(Vocabulary, ByteLevel) {
     const auto v = Vocabulary::parse(
         "{\"added_tokens\":[{\"id\":6,\"content\":\"<|im_end|>\"}],\"decoder\":{\"type\":\"ByteLevel\"},"
@@ -22,8 +22,8 @@
     ASSERT_TRUE(v) << v.error();
     EXPECT_EQ(v->size(), 7U);
     EXPECT_EQ(text(*v, {0, 1, 2, 3, 6}), "hello world\ncaf\xc3\xa9<|im_end|>");
-    EXPECT_EQ(text(*v, {4}), "\xc3");          // half of a character, as tokens often are
-    EXPECT_EQ(text(*v, {5}), "\xe2\x82\xac");  // none of the table's: as it is written
+    EXPECT_EQ(text(*v, {4}), "\xc3");          // half of a character, as tokens may split characters
+    EXPECT_EQ(text(*v, {5}), "\xe2\x82\xac");  // not in the byte table: its text as written
     EXPECT_EQ(text(*v, {7, 4'000'000}), "(?)(?)");
 }
 
@@ -35,7 +35,7 @@
     EXPECT_EQ(text(*v, {0}), "(?)");
 }
 
-TEST(Vocabulary, BadFilesAreNamed) {
+TEST(Vocabulary, InvalidFilesAreRejectedWithAnError) {
     for (const auto* bad : {"", "[]", "{}", R"({"model":{"vocab":[]}})", R"({"model":{"vocab":{}}})",
                             R"({"model":{"vocab":{"a":-1}}})", R"({"model":{"vocab":{"a":99999999}}})",
                             R"({"model":{"vocab":{"a":1}},"added_tokens":[{"id":2}]})"}) {
@@ -45,7 +45,7 @@
     }
 }
 
-TEST(PromptTemplate, RendersTextAsFarAsItGoes) {
+TEST(PromptTemplate, RendersUpToTheFirstUnknownText) {
     const PromptTemplate chatml{"<s>", "<|im_start|>{role}\n{content}<|im_end|>\n"};
     EXPECT_EQ(
         prompt_text(R"([{"role":"system","content":"Be {role}."},{"role":"user","content":"Hi"}])", chatml),
@@ -54,7 +54,7 @@
         prompt_text(R"([{"role":"user","content":[{"type":"text","text":"a"},{"type":"text","text":"b"}]}])",
                     {"", "{content};"}),
         "ab;");
-    // A picture, a tool call: nothing behind them is known.
+    // The text after an image or a tool call is unknown.
     EXPECT_EQ(prompt_text(R"([{"role":"user","content":"a"},{"role":"user","content":[{"type":"image_url"}]},
                               {"role":"user","content":"b"}])",
                           {"", "{content};"}),
--- a/tests/http/message_test.cpp
+++ b/tests/http/message_test.cpp
@@ -1,4 +1,4 @@
-// HTTP reading: any split gives the same, limits hold, bad bytes are errors.
+// The HTTP readers: any split gives the same result, limits are enforced, malformed input is rejected.
 #include "http/message.hpp"
 
 #include <gtest/gtest.h>
@@ -6,21 +6,21 @@
 namespace chalksail::http {
 namespace {
 
-struct Read {
+struct RequestResult {
     std::vector<Request> requests;
     std::optional<Fault> fault;
     int continues = 0;
 };
-Read read(const std::string& bytes, std::size_t step, Limits limits = {}) {
-    Read out;
+RequestResult read(const std::string& bytes, std::size_t step, Limits limits = {}) {
+    RequestResult out;
     RequestReader reader(limits);
-    std::string ahead;
+    std::string pending;
     for (std::size_t at = 0; at < bytes.size() && !out.fault; at += step) {
-        ahead += bytes.substr(at, step);
-        for (bool more = true; more && !ahead.empty();) {
-            std::string_view remaining = ahead;
+        pending += bytes.substr(at, step);
+        for (bool more = true; more && !pending.empty();) {
+            std::string_view remaining = pending;
             auto progress = reader.feed(remaining);
-            ahead.erase(0, ahead.size() - remaining.size());
+            pending.erase(0, pending.size() - remaining.size());
             more = false;
             if (auto* r = std::get_if<Request>(&progress)) {
                 out.requests.push_back(std::move(*r));
@@ -35,15 +35,15 @@
     return out;
 }
 
-const std::string kTwo =
+const std::string kPipelinedRequests =
     "POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: a\r\nX-Two:  b c \r\nContent-Length: 5\r\n\r\nhello"
     "POST /b HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: "
     "chunked\r\n\r\n3\r\nabc\r\n2;e=1\r\nde\r\n0\r\nTrailer: t\r\n\r\n"
     "GET /c HTTP/1.0\r\n\r\n";
 
-TEST(HttpRequest, AnySplitAndPipelining) {
-    for (std::size_t step = 1; step < kTwo.size() + 1; ++step) {
-        const auto out = read(kTwo, step);
+TEST(HttpRequest, AnySplitGivesTheSamePipelinedRequests) {
+    for (std::size_t step = 1; step < kPipelinedRequests.size() + 1; ++step) {
+        const auto out = read(kPipelinedRequests, step);
         ASSERT_FALSE(out.fault) << step << out.fault->text;
         ASSERT_EQ(out.requests.size(), 3U) << step;
         EXPECT_EQ(out.requests[0].path(), "/v1/chat/completions");
@@ -62,7 +62,7 @@
     EXPECT_EQ(read("POST / HTTP/1.1\r\nExpect: magic\r\nContent-Length: 2\r\n\r\nok", 9).fault->status, 417);
 }
 
-TEST(HttpRequest, LimitsHoldBeforeTheBytesAreStored) {
+TEST(HttpRequest, LimitsAreEnforced) {
     const Limits limits{200, 10};
     EXPECT_EQ(read("GET /" + std::string(1000, 'a') + " HTTP/1.1\r\n\r\n", 7, limits).fault->status, 431);
     EXPECT_EQ(read("GET / HTTP/1.1\r\nA: " + std::string(1000, 'a') + "\r\n\r\n", 7, limits).fault->status,
@@ -73,7 +73,7 @@
               413);
 }
 
-TEST(HttpRequest, BadBytesAreFaults) {
+TEST(HttpRequest, MalformedRequestsAreFaults) {
     for (const std::string bad :
          {"\x16\x03\x01", "GET\r\n\r\n", "POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
           "POST / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -82,15 +82,16 @@
         EXPECT_TRUE(read(bad, 3).fault) << bad;
 }
 
-struct Answer {
+struct ResponseResult {
     int status = 0;
     std::string body;
     bool ended = false;
-    bool keep = false;
+    bool keep_alive = false;
     std::optional<Fault> fault;
 };
-Answer answer(const std::string& bytes, std::size_t step, bool close = false, Limits limits = {}) {
-    Answer out;
+ResponseResult read_response(const std::string& bytes, std::size_t step, bool close = false,
+                             Limits limits = {}) {
+    ResponseResult out;
     ResponseReader reader(limits);
     const auto take = [&](std::vector<ResponsePart> parts) {
         for (auto& p : parts) {
@@ -98,7 +99,7 @@
             if (auto* b = std::get_if<ResponseBodyPart>(&p)) out.body += b->bytes;
             if (auto* e = std::get_if<ResponseEnd>(&p)) {
                 out.ended = true;
-                out.keep = e->keep_alive;
+                out.keep_alive = e->keep_alive;
             }
             if (auto* f = std::get_if<Fault>(&p)) out.fault = *f;
         }
@@ -109,33 +110,33 @@
     return out;
 }
 
-TEST(HttpResponse, AnySplit) {
+TEST(HttpResponse, AnySplitGivesTheSameResponse) {
     const std::string text =
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: "
         "chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
     for (std::size_t step = 1; step < text.size() + 1; ++step) {
-        const auto out = answer(text, step);
+        const auto out = read_response(text, step);
         EXPECT_EQ(out.status, 200);
         EXPECT_EQ(out.body, "abcde");
-        EXPECT_TRUE(out.ended && out.keep) << step;
+        EXPECT_TRUE(out.ended && out.keep_alive) << step;
     }
 }
 
-TEST(HttpResponse, EndsAndCuts) {
-    EXPECT_TRUE(answer("HTTP/1.1 200 OK\r\n\r\nuntil the close", 5, true).ended);
-    EXPECT_FALSE(answer("HTTP/1.1 200 OK\r\n\r\nuntil the close", 5, true).keep);
-    EXPECT_TRUE(answer("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 5, true).fault);
-    EXPECT_TRUE(answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nha", 5, true)
-                    .fault);  // half a chunk
-    EXPECT_TRUE(answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n", 5)
-                    .fault);  // a bad chunk length
-    EXPECT_TRUE(answer("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na", 99).keep);
-    EXPECT_FALSE(
-        answer("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nagarbage", 99).keep);  // more than was asked for
-    EXPECT_TRUE(answer("220 smtp.example\r\n", 4).fault);
+TEST(HttpResponse, EndOfTheResponseIsDetected) {
+    EXPECT_TRUE(read_response("HTTP/1.1 200 OK\r\n\r\nuntil the close", 5, true).ended);
+    EXPECT_FALSE(read_response("HTTP/1.1 200 OK\r\n\r\nuntil the close", 5, true).keep_alive);
+    EXPECT_TRUE(read_response("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 5, true).fault);
+    EXPECT_TRUE(read_response("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nha", 5, true)
+                    .fault);  // incomplete chunk
+    EXPECT_TRUE(read_response("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n", 5)
+                    .fault);  // invalid chunk size
+    EXPECT_TRUE(read_response("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na", 99).keep_alive);
+    EXPECT_FALSE(read_response("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nagarbage", 99)
+                     .keep_alive);  // bytes after the response
+    EXPECT_TRUE(read_response("220 smtp.example\r\n", 4).fault);
 }
 
-TEST(HttpResponse, EndlessHeadIsCutAtTheLimit) {
+TEST(HttpResponse, EndlessHeadIsRejectedAtTheLimit) {
     Limits limits{1000, 0};
     ResponseReader reader(limits);
     (void)reader.feed("HTTP/1.1 200 OK\r\nA: ");
@@ -147,14 +148,15 @@
     }
 }
 
-TEST(HttpWrite, NoLineBreakGetsIntoAHead) {
+TEST(HttpWrite, LineBreaksInHeaderValuesAreReplaced) {
     Headers headers;
     headers.add("X", "a\r\nSet-Cookie: b");
     EXPECT_EQ(format_response_head(200, headers), "HTTP/1.1 200 OK\r\nX: a  Set-Cookie: b\r\n\r\n");
 }
 
-// http-parser as Debian builds it takes a chunk that does not fit for another one, and waits for more of it.
-TEST(Chunks, AreReadStrictlyHoweverTheyCome) {
+// http-parser, as Debian builds it, takes data beyond a chunk's stated size for another chunk, and waits for
+// more of it.
+TEST(Chunks, AreReadStrictlyInAnySplit) {
     const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     const auto read = [&](const std::string& text, std::size_t step) {
         ResponseReader reader({1000, 0, 100});
--- a/tests/observe/metrics_test.cpp
+++ b/tests/observe/metrics_test.cpp
@@ -7,8 +7,9 @@
 namespace chalksail::observe {
 namespace {
 
-// New servers with new names come all day: what is counted by the name of one that is gone must not stay.
-TEST(Metrics, CountsByServerGoWithTheServer) {
+// Servers are replaced continuously, each under a new name. Time series of removed servers must not
+// accumulate.
+TEST(Metrics, SeriesOfARemovedServerAreDropped) {
     Metrics metrics("g");
     for (const char* server : {"here", "gone"}) {
         metrics.count(AttemptRecord{"r", 0, server, true, "read", 202, true, false, Duration(1), ""});
--- a/tests/platform/platform_fixture.hpp
+++ b/tests/platform/platform_fixture.hpp
@@ -1,4 +1,4 @@
-// The platform's messages for tests: a configuration, an endpoint list, a request.
+// Builds the platform's messages for tests: a configuration, an endpoint list, a request.
 #pragma once
 
 #include <string>
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -1,4 +1,4 @@
-// The platform's codecs: what is accepted, and what is rejected.
+// The platform's codecs: which input they accept, and which they reject.
 #include <gtest/gtest.h>
 
 #include "platform/answer.hpp"
@@ -12,7 +12,7 @@
 
 // ---- configuration ----
 
-TEST(PlatformConfiguration, EnvironmentVariablesWin) {
+TEST(PlatformConfiguration, EnvironmentVariablesOverrideTheFile) {
     const auto list = list_text(instance("s-1", "reader", "10.0.0.1:80"));
     const auto c = parse_configuration(configuration_text("10.2.0.1:8500", list), {"n7", "10.0.0.9:90", ""});
     ASSERT_TRUE(c) << c.error();
@@ -28,21 +28,21 @@
 }
 
 TEST(PlatformConfiguration, ErrorsNameTheMember) {
-    const auto broken = [](std::string text, const std::string& from, const std::string& to) {
+    const auto replace = [](std::string text, const std::string& from, const std::string& to) {
         text.replace(text.find(from), from.size(), to);
         return text;
     };
     const auto good = configuration_text();
-    for (const auto& [text, named] :
+    for (const auto& [text, member] :
          {std::pair<std::string, std::string>{"{", "JSON"},
-          {broken(good, "127.0.0.1:1", "nowhere"), "discovery"},
-          {broken(good, "8c1f30d27a5be964", "xyz"), "seed"},
-          {broken(good, "\"sockets\":256", "\"sockets\":3"), "sockets"},
-          {broken(good, "\"send_cap\":5", "\"send_cap\":\"5\""), "send_cap"},
-          {broken(good, "\"settings\":{", "\"settings\":[],\"x\":{"), "settings"}}) {
+          {replace(good, "127.0.0.1:1", "nowhere"), "discovery"},
+          {replace(good, "8c1f30d27a5be964", "xyz"), "seed"},
+          {replace(good, "\"sockets\":256", "\"sockets\":3"), "sockets"},
+          {replace(good, "\"send_cap\":5", "\"send_cap\":\"5\""), "send_cap"},
+          {replace(good, "\"settings\":{", "\"settings\":[],\"x\":{"), "settings"}}) {
         const auto c = parse_configuration(text, {});
         ASSERT_FALSE(c) << text;
-        EXPECT_NE(c.error().find(named), std::string::npos) << c.error();
+        EXPECT_NE(c.error().find(member), std::string::npos) << c.error();
     }
 }
 
@@ -66,7 +66,7 @@
         EXPECT_FALSE(parse_endpoint_list(bad)) << bad;
 }
 
-TEST(PlatformEndpointList, ObjectsAreTheSameHoweverTheBytesArrive) {
+TEST(PlatformEndpointList, AnySplitGivesTheSameObjects) {
     const std::string text = "{\"a\":1}\r\n\n\n{\"b\":2}\n{\"c\"";
     for (std::size_t step = 1; step <= text.size(); ++step) {
         ObjectReader reader(100);
@@ -91,7 +91,7 @@
     return std::holds_alternative<http::Request>(got) ? std::get<http::Request>(got) : http::Request{};
 }
 
-TEST(PlatformRequest, HeadersAreRead) {
+TEST(PlatformRequest, HeadersAreParsed) {
     const auto r = read_request(request(post("9b1f", "chat", "X-Repeat: again\r\n", "4800m")));
     ASSERT_TRUE(r) << r.error();
     EXPECT_EQ(r->id, "9b1f");
@@ -135,7 +135,7 @@
     EXPECT_EQ(format_retry_after(250ms), "0.250");
 }
 
-// ---- answers ----
+// ---- responses ----
 
 TEST(PlatformAnswer, OutcomesFollowThePlatformsRules) {
     const auto of = [](AttemptObservation f) { return classify(f).outcome; };
@@ -158,7 +158,7 @@
               AttemptOutcome::prefilled);
     EXPECT_EQ(of(with([](auto& f) { f.status = 202, f.complete = true; })),
               AttemptOutcome::error);  // not at a prefill server
-    // Whether the request's last byte was sent makes the difference.
+    // The outcome depends on whether the request's last byte was sent.
     for (const auto ending : {ExchangeEnd::no_connection, ExchangeEnd::connection_closed,
                               ExchangeEnd::timed_out, ExchangeEnd::cancelled}) {
         AttemptObservation f;
@@ -174,7 +174,7 @@
               AttemptOutcome::reset);
 }
 
-TEST(PlatformAnswer, EventsAreUnchangedHoweverTheBytesArrive) {
+TEST(PlatformAnswer, AnySplitGivesTheSameEvents) {
     const std::string text =
         "data: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\n"
         "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":50,\"completion_tokens\":2,"
@@ -206,9 +206,9 @@
         EXPECT_FALSE(reader.done());
         EXPECT_GE(events.count, 1);
     }
-    EventReader cut(1000);
-    EXPECT_EQ(cut.feed("data: a\n\ndata: [DONE]").count, 1);
-    EXPECT_FALSE(cut.done());
+    EventReader truncated(1000);
+    EXPECT_EQ(truncated.feed("data: a\n\ndata: [DONE]").count, 1);
+    EXPECT_FALSE(truncated.done());
 }
 
 }  // namespace
--- a/tests/store/store_test.cpp
+++ b/tests/store/store_test.cpp
@@ -42,7 +42,7 @@
     EXPECT_EQ(s.all(), wanted);
 }
 
-TEST_F(StoreTest, FailedWriteLeavesTheFormerValue) {
+TEST_F(StoreTest, FailedWriteKeepsThePreviousValue) {
     Store s(folder, kMaxBytes);
     s.put("a", "small");
     const auto error_of = [&](const std::string& key, const std::string& value) {
@@ -62,7 +62,7 @@
     EXPECT_EQ(s.all().size(), 2U);
 }
 
-TEST_F(StoreTest, InvalidFileIsSetAside) {
+TEST_F(StoreTest, InvalidFileIsReplaced) {
     std::filesystem::create_directories(folder);
     std::ofstream(file()) << std::string(20'000, 'z');
     Store s(folder, kMaxBytes);
@@ -73,7 +73,7 @@
 }
 
 // Reading a page past the end of the file would kill the process by SIGBUS.
-TEST_F(StoreTest, TruncatedFileIsSetAside) {
+TEST_F(StoreTest, TruncatedFileIsReplaced) {
     {
         Store s(folder, kMaxBytes);
         for (int i = 0; i < 100; ++i) s.put("name" + std::to_string(i), std::string(3000, 'v'));
