--- a/tests/fuzz/codecs_fuzz.cpp
+++ b/tests/fuzz/codecs_fuzz.cpp
@@ -1,5 +1,5 @@
-// Fuzz of all that reads bytes from outside without sockets. The first byte picks the reader. What must hold,
-// holds whatever the bytes: no crash, bounded memory, and the same result for any split.
+// Fuzzes every parser of external input that needs no socket. The first byte selects the parser. For any
+// input there must be no crash, memory must stay bounded, and every split must give the same result.
 #include <cstdint>
 #include <cstdlib>
 #include <string_view>
@@ -20,11 +20,11 @@
 
 using namespace chalksail;
 
-void must(bool so) {
-    if (!so) std::abort();
+void require(bool condition) {
+    if (!condition) std::abort();
 }
 
-// All that a response reader says, as text.
+// Returns all parts that a response reader gives, as text.
 std::string responses(std::string_view bytes, std::size_t step) {
     http::ResponseReader reader({1000, 0});
     std::string out;
@@ -53,8 +53,8 @@
         const auto before = bytes.size();
         const auto progress = reader.feed(bytes);
         if (std::holds_alternative<http::Fault>(progress)) return;
-        if (const auto* r = std::get_if<http::Request>(&progress)) must(r->body.size() <= 1000);
-        must(bytes.size() < before || std::holds_alternative<http::RequestReader::NeedMore>(progress));
+        if (const auto* r = std::get_if<http::Request>(&progress)) require(r->body.size() <= 1000);
+        require(bytes.size() < before || std::holds_alternative<http::RequestReader::NeedMore>(progress));
     }
 }
 
@@ -64,12 +64,12 @@
         std::vector<std::string> out;
         for (std::size_t at = 0; at < bytes.size(); at += step)
             for (auto& e : reader.feed(bytes.substr(at, step))) {
-                must(e.size() <= 500);
+                require(e.size() <= 500);
                 out.push_back(std::move(e));
             }
         return out;
     };
-    must(read(1) == read(bytes.size() + 1));
+    require(read(1) == read(bytes.size() + 1));
     chat::Collector collector(2000);
     for (const auto& e : read(7)) {
         (void)engine::read_chunk(e);
@@ -84,12 +84,13 @@
         (void)chat::format_error(parsed.error());
         return;
     }
-    // What is made of a good request is one too, and says the same.
-    const auto write = engine::decode_body(bytes, *parsed, "{}");
-    const auto again = chat::parse_request(write);
-    must(again && again->stream && again->model == parsed->model && again->prefix == parsed->prefix);
-    const auto read = chat::parse_request(engine::prefill_body(bytes, *parsed));
-    must(read && !read->stream && read->max_output == 1);
+    // The bodies derived from a valid request are valid too and have the same contents.
+    const auto decode = engine::decode_body(bytes, *parsed, "{}");
+    const auto reparsed = chat::parse_request(decode);
+    require(reparsed && reparsed->stream && reparsed->model == parsed->model &&
+            reparsed->prefix == parsed->prefix);
+    const auto prefill = chat::parse_request(engine::prefill_body(bytes, *parsed));
+    require(prefill && !prefill->stream && prefill->max_output == 1);
 }
 
 }  // namespace
@@ -101,7 +102,7 @@
         case 0: (void)kdl::parse(bytes); break;
         case 1: (void)config::parse_settings(bytes, "f"); break;
         case 2: requests(bytes); break;
-        case 3: must(responses(bytes, 1) == responses(bytes, bytes.size() + 1)); break;
+        case 3: require(responses(bytes, 1) == responses(bytes, bytes.size() + 1)); break;
         case 4: events(bytes); break;
         case 5: chat_request(bytes); break;
         case 6:
@@ -109,11 +110,11 @@
             (void)engine::parse_load_header(bytes).report();
             (void)engine::parse_metrics_page(bytes).report();
             (void)engine::prompt_text(bytes, {"<s>", "{role}:{content};"});
-            if (const auto v = engine::Vocabulary::parse(bytes)) must(v->size() > 0);
+            if (const auto v = engine::Vocabulary::parse(bytes)) require(v->size() > 0);
             break;
         case 7: (void)net::parse_server_list(bytes, {"r", "w"}, {}); break;
         case 8:
-            if (const auto r = lab::parse(bytes)) must(lab::parse(lab::format(*r)).has_value());
+            if (const auto r = lab::parse(bytes)) require(lab::parse(lab::format(*r)).has_value());
             (void)lab::parse_scenario(bytes, "f");
             break;
     }
--- a/tests/fuzz/edge_fuzz.cpp
+++ b/tests/fuzz/edge_fuzz.cpp
@@ -1,6 +1,6 @@
-// Fuzz of the core: the bytes say what clients, engines, list and clock do, in any order. Whatever they do:
-// each request has at most one final answer, nothing is written to a client after it, no guard has to step
-// in, and in the end nothing is left.
+// Fuzzes the core: the input bytes select actions of clients, engines, endpoint list and clock, in any order.
+// For any sequence, each request has at most one final response, nothing is sent to a client after it, no
+// action of the router is blocked by a guard, and no state is left at the end.
 #include <cstdint>
 #include <cstdlib>
 #include <map>
@@ -14,8 +14,8 @@
 using namespace chalksail;
 using namespace chalksail::core;
 
-void must(bool so) {
-    if (!so) std::abort();
+void require(bool condition) {
+    if (!condition) std::abort();
 }
 
 const config::EdgeSettings& settings() {
@@ -42,22 +42,22 @@
         while (!script_.empty()) {
             act(next());
         }
-        // All clients go; then all calls end; then nothing is left.
+        // All clients disconnect, then all calls fail; no state may be left after that.
         std::vector<Input> end;
         for (const auto& [client, open] : clients_)
             if (open) end.push_back(ClientClosed{{client}});
-        give(std::move(end));
+        apply(std::move(end));
         for (int i = 0; i < 50; ++i) {
             now_ += std::chrono::seconds(1);
             std::vector<Input> failures;
             for (const auto& [id, call] : calls_)
                 failures.push_back(CallFailed{{id}, engine::ExchangeEnd::connection_closed, ""});
             calls_.clear();
-            give(std::move(failures));
+            apply(std::move(failures));
         }
         const auto g = edge_.gauges();
-        must(g.open_requests == 0 && g.started_streams == 0 && g.kv_states_held == 0 &&
-             g.tracked_by_router == 0 && g.calls == calls_.size());  // a probe may be out
+        require(g.open_requests == 0 && g.started_streams == 0 && g.kv_states_held == 0 &&
+                g.tracked_by_router == 0 && g.calls == calls_.size());  // a health check may be in flight
     }
 
 private:
@@ -75,11 +75,11 @@
     }
     std::uint64_t some_client() { return next() % 8U + 1; }
 
-    void act(std::uint8_t what) {
-        switch (what % 12) {
+    void act(std::uint8_t action) {
+        switch (action % 12) {
             case 0: {
                 const std::uint64_t client = some_client();
-                if (clients_[client]) return;  // a shell gives one request at a time
+                if (clients_[client]) return;  // a connection has at most one request in flight
                 http::Request r;
                 r.method = "POST";
                 r.target = "/v1/chat/completions";
@@ -89,22 +89,22 @@
                          R"(","messages":[{"role":"user","content":"hi"}],"stream":)" +
                          (next() % 2 ? "true" : "false") + "}";
                 clients_[client] = true;
-                begun_[client] = false;
-                return give({ClientRequest{{client}, std::move(r)}});
+                streaming_[client] = false;
+                return apply({ClientRequest{{client}, std::move(r)}});
             }
             case 1: {
                 const std::uint64_t client = some_client();
                 clients_[client] = false;
-                return give({ClientClosed{{client}}});
+                return apply({ClientClosed{{client}}});
             }
-            case 2: return give({ClientBacklog{{some_client()}, next() % 2 == 0}});
-            case 3: return give({CallSent{{some_call()}}});
+            case 2: return apply({ClientBacklog{{some_client()}, next() % 2 == 0}});
+            case 3: return apply({CallSent{{some_call()}}});
             case 4: {
                 const int statuses[] = {200, 200, 200, 400, 500, 503, 429, 204};
                 http::Headers headers;
-                if (const auto word = next() % 4; word == 1) headers.add("X-Engine-Not-Run", "full");
-                else if (word == 2) headers.add("X-Engine-Not-Run", "no-state");
-                return give({CallHead{{some_call()}, statuses[next() % 8], headers}});
+                if (const auto not_run = next() % 4; not_run == 1) headers.add("X-Engine-Not-Run", "full");
+                else if (not_run == 2) headers.add("X-Engine-Not-Run", "no-state");
+                return apply({CallHead{{some_call()}, statuses[next() % 8], headers}});
             }
             case 5: {
                 static const std::string bodies[] = {
@@ -116,12 +116,12 @@
                     "data: {",
                     "\n\n",
                     std::string(3000, 'x')};
-                return give({CallBody{{some_call()}, bodies[next() % 8]}});
+                return apply({CallBody{{some_call()}, bodies[next() % 8]}});
             }
             case 6: {
                 const auto call = some_call();
                 calls_.erase(call);
-                return give({CallDone{{call}}});
+                return apply({CallDone{{call}}});
             }
             case 7: {
                 const engine::ExchangeEnd endings[] = {
@@ -129,7 +129,7 @@
                     engine::ExchangeEnd::connection_closed, engine::ExchangeEnd::malformed_response};
                 const auto call = some_call();
                 calls_.erase(call);
-                return give({CallFailed{{call}, endings[next() % 4], "f"}});
+                return apply({CallFailed{{call}, endings[next() % 4], "f"}});
             }
             case 8: {
                 membership::EndpointList list;
@@ -146,27 +146,27 @@
                     s.address = {"127.0.0.1", 1};
                     list.endpoints.push_back(std::move(s));
                 }
-                return give({std::move(list)});
+                return apply({std::move(list)});
             }
-            case 9: now_ += std::chrono::milliseconds(next()); return give({});
-            case 10: now_ += std::chrono::milliseconds(20 * next()); return give({});
-            case 11: {  // a good server: the call does what it is asked
+            case 9: now_ += std::chrono::milliseconds(next()); return apply({});
+            case 10: now_ += std::chrono::milliseconds(20 * next()); return apply({});
+            case 11: {  // a healthy server: the call succeeds
                 const auto call = some_call();
                 if (!calls_.contains(call)) return;
-                const bool read = calls_[call];
+                const bool prefill = calls_[call];
                 calls_.erase(call);
-                return give({CallSent{{call}}, CallHead{{call}, 200, {}},
-                             CallBody{{call},
-                                      read ? R"({"kv_transfer_params":{}})"
-                                           : chat::format_event(
-                                                 R"({"choices":[{"index":0,"delta":{"content":"x"}}]})") +
-                                                 "data: [DONE]\n\n"},
-                             CallDone{{call}}});
+                return apply({CallSent{{call}}, CallHead{{call}, 200, {}},
+                              CallBody{{call},
+                                       prefill ? R"({"kv_transfer_params":{}})"
+                                               : chat::format_event(
+                                                     R"({"choices":[{"index":0,"delta":{"content":"x"}}]})") +
+                                                     "data: [DONE]\n\n"},
+                              CallDone{{call}}});
             }
         }
     }
 
-    void give(std::vector<Input> inputs) {
+    void apply(std::vector<Input> inputs) {
         for (const auto& o : edge_.step(now_, std::move(inputs))) {
             if (const auto* call = std::get_if<Call>(&o)) {
                 calls_[call->call.value] = call->body.find("do_remote_decode\":true") != std::string::npos;
@@ -175,18 +175,18 @@
             } else if (const auto* completed = std::get_if<CompleteCall>(&o)) {
                 calls_.erase(completed->call.value);
             } else if (const auto* reply = std::get_if<SendResponse>(&o)) {
-                must(clients_[reply->client.value] && !begun_[reply->client.value]);
+                require(clients_[reply->client.value] && !streaming_[reply->client.value]);
                 clients_[reply->client.value] = false;
             } else if (const auto* begin = std::get_if<BeginStream>(&o)) {
-                must(clients_[begin->client.value] && !begun_[begin->client.value]);
-                begun_[begin->client.value] = true;
+                require(clients_[begin->client.value] && !streaming_[begin->client.value]);
+                streaming_[begin->client.value] = true;
             } else if (const auto* bytes = std::get_if<SendStreamBytes>(&o)) {
-                must(clients_[bytes->client.value] && begun_[bytes->client.value]);
+                require(clients_[bytes->client.value] && streaming_[bytes->client.value]);
             } else if (const auto* end = std::get_if<EndStream>(&o)) {
-                must(clients_[end->client.value] && begun_[end->client.value]);
+                require(clients_[end->client.value] && streaming_[end->client.value]);
                 clients_[end->client.value] = false;
             } else if (const auto* emitted = std::get_if<EmitRecord>(&o)) {
-                must(!std::holds_alternative<observe::GuardRecord>(emitted->record));
+                require(!std::holds_alternative<observe::GuardRecord>(emitted->record));
             }
         }
     }
@@ -194,9 +194,9 @@
     std::string_view script_;
     Edge edge_;
     Time now_{std::chrono::seconds(100)};
-    std::map<std::uint64_t, bool> clients_;  // is its request open?
-    std::map<std::uint64_t, bool> begun_;
-    std::map<std::uint64_t, bool> calls_;  // is it a read?
+    std::map<std::uint64_t, bool> clients_;  // true: its request is open
+    std::map<std::uint64_t, bool> streaming_;
+    std::map<std::uint64_t, bool> calls_;  // true: prefill
 };
 
 }  // namespace
--- a/tests/fuzz/platform_fuzz.cpp
+++ b/tests/fuzz/platform_fuzz.cpp
@@ -1,5 +1,5 @@
-// Bytes of the platform's parties into its codecs: a configuration, a watch of the list, a client's request,
-// a model server's stream. Nothing may break, and where the bytes are cut must not matter.
+// Fuzzes the platform's codecs: a configuration, a watch of the endpoint list, a client's request, a model
+// server's stream. For any input there must be no crash, and every split must give the same result.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Each of `steps` sizes in turn.
+// Passes `text` to `take` in parts of `step` bytes.
 template <class Take>
 void in_parts(std::string_view text, std::size_t step, const Take& take) {
     for (std::size_t at = 0; at < text.size(); at += step) take(text.substr(at, step));
--- a/tests/fuzz/prefix_fuzz.cpp
+++ b/tests/fuzz/prefix_fuzz.cpp
@@ -1,5 +1,5 @@
-// Bytes of an engine into the prefix index: any payload, any order of sequences. Nothing may break, and after
-// the engines are removed nothing may be left.
+// Fuzzes the prefix index with an engine's events: any payload, in any order of sequence numbers. For any
+// input there must be no crash, and the index must be empty after the engines are removed.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -25,11 +25,12 @@
     const auto a = index.add("m"), b = index.add("m");
     EventStream stream(8);
     std::string_view remaining(reinterpret_cast<const char*>(data), size);
-    // A stored snapshot: as it is, and with its checksum made good so that what is behind it is reached.
+    // Decodes the input as a stored snapshot, unchanged and with a valid checksum in front, so that the code
+    // after the checksum test is reached too.
     (void)decode_snapshot(remaining, 50);
-    const std::string summed =
+    const std::string with_checksum =
         encode_sequence(XXH3_64bits(remaining.data(), remaining.size())) + std::string(remaining);
-    if (const auto snapshot = decode_snapshot(summed, 50)) {
+    if (const auto snapshot = decode_snapshot(with_checksum, 50)) {
         PrefixIndex restored(text, {4, 50, 64, 256});
         const auto e = restored.add(snapshot->space);
         restored.restore(e, snapshot->blocks);
@@ -39,7 +40,7 @@
         if (restored.blocks() != 0 || restored.nodes() != 0) std::abort();
     }
     while (remaining.size() > 2) {
-        const auto what = static_cast<unsigned char>(remaining[0]);
+        const auto selector = static_cast<unsigned char>(remaining[0]);
         const auto length =
             std::min<std::size_t>(static_cast<unsigned char>(remaining[1]), remaining.size() - 2);
         const auto payload = remaining.substr(2, length);
@@ -49,14 +50,14 @@
             if (batch.error().text.empty()) std::abort();
             continue;
         }
-        // What comes out goes in again, the same.
-        const auto again = decode(encode(*batch));
-        if (!again || again->events.size() != batch->events.size()) std::abort();
+        // A decoded batch must survive encoding and decoding again.
+        const auto decoded = decode(encode(*batch));
+        if (!decoded || decoded->events.size() != batch->events.size()) std::abort();
         for (const auto& e : batch->events) index.apply(b, e);
         EventStream::Update update;
-        if (what < 200) update = stream.on_published(what % 16, std::move(*batch));
-        else if (what < 240) update = stream.on_replayed(what % 16, std::move(*batch));
-        else if (what < 250) update = stream.on_replay_ended();
+        if (selector < 200) update = stream.on_published(selector % 16, std::move(*batch));
+        else if (selector < 240) update = stream.on_replayed(selector % 16, std::move(*batch));
+        else if (selector < 250) update = stream.on_replay_ended();
         else update = stream.on_restart();
         if (update.clear) index.clear(a);
         for (const auto& one : update.apply)
--- a/tests/fuzz/tls_fuzz.cpp
+++ b/tests/fuzz/tls_fuzz.cpp
@@ -1,5 +1,5 @@
-// Bytes from outside into TLS: what an operator's files hold, which names a certificate is taken for (against
-// a plain reading of RFC 6125), and any order, cut and change of what two filters say to each other.
+// Fuzzes TLS: the contents of an operator's files, the matching of certificate names (against a simple
+// implementation of RFC 6125), and the bytes between two filters, reordered, split and modified.
 #include <algorithm>
 #include <cstdint>
 #include <cstdlib>
@@ -19,8 +19,8 @@
 constexpr std::int64_t kDay = 86'400;
 const std::string kName = "decode-7.example.org";
 
-void require(bool so) {
-    if (!so) std::abort();
+void require(bool condition) {
+    if (!condition) std::abort();
 }
 
 struct TlsFixture {
@@ -40,7 +40,7 @@
     return w;
 }
 
-// A file of the operator's: read or refused, with a word on why.
+// Loads the bytes as an operator's file, which must be accepted or rejected with an error text.
 void files(const std::string& bytes) {
     const std::string pem = "-----BEGIN CERTIFICATE-----\n" + bytes + "\n-----END CERTIFICATE-----\n";
     for (const auto& text : {bytes, pem, fixture().ca.certificate() + bytes}) {
@@ -53,9 +53,10 @@
     }
 }
 
-// Does a certificate for `shown` prove `wanted`? Whole names, any case; a star only as the whole first label,
-// for exactly one, and not right below the top.
-bool proves(std::string shown, std::string wanted) {
+// Returns true if a certificate for `shown` is valid for `wanted`. Names are compared as a whole and
+// case-insensitively. A wildcard must be the whole first label, matches exactly one label, and must not be
+// directly below a top-level domain.
+bool certificate_matches(std::string shown, std::string wanted) {
     const auto lower = [](std::string& s) {
         std::transform(s.begin(), s.end(), s.begin(),
                        [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
@@ -72,7 +73,7 @@
 }
 
 void names(const std::string& bytes) {
-    // Few letters, so that names often meet.
+    // Uses few letters, so that names often match.
     std::string all;
     for (const char c : bytes.substr(0, 24)) all += "ab.*A-"[static_cast<unsigned char>(c) % 6];
     const auto half = all.size() / 2;
@@ -83,30 +84,30 @@
     std::string to_server = c->start().to_peer;
     for (int i = 0; i < 8 && !to_server.empty(); ++i)
         to_server = c->from_peer(s->from_peer(to_server).to_peer).to_peer;
-    // Never taken for a name that it does not prove. The reverse is left to OpenSSL: it is stricter on what
-    // is a host name at all.
-    if (c->connected()) require(proves(shown, wanted));
+    // A connection requires a matching name. The reverse is not checked, as OpenSSL is stricter on what is a
+    // valid host name.
+    if (c->connected()) require(certificate_matches(shown, wanted));
 }
 
-// A server's bytes that are none, and a real talk with its bytes cut, held back, changed and dropped.
-void talk(const std::string& bytes) {
+// Runs a session between a client and a server whose bytes are split, delayed, modified and inserted.
+void session(const std::string& bytes) {
     auto c = Filter::client(fixture().client, kName, nullptr, kNow);
     auto s = Filter::server(fixture().server, kNow);
-    std::string to_server, to_client, sent, got;
-    bool c_over = false, s_over = false, changed = false;
-    const auto of_client = [&](Step step) {
-        require(!c_over || (step.plaintext.empty() && !step.connected));
+    std::string to_server, to_client, sent, received;
+    bool client_ended = false, server_ended = false, changed = false;
+    const auto on_client_step = [&](Step step) {
+        require(!client_ended || (step.plaintext.empty() && !step.connected));
         require(step.plaintext.empty() || c->connected());
         to_server += step.to_peer;
-        got += step.plaintext;
-        c_over = c_over || step.fault != nullptr || step.ended;
+        received += step.plaintext;
+        client_ended = client_ended || step.fault != nullptr || step.ended;
     };
-    const auto of_server = [&](Step step) {
-        require(!s_over || (step.plaintext.empty() && !step.connected));
+    const auto on_server_step = [&](Step step) {
+        require(!server_ended || (step.plaintext.empty() && !step.connected));
         to_client += step.to_peer;
-        s_over = s_over || step.fault != nullptr || step.ended;
+        server_ended = server_ended || step.fault != nullptr || step.ended;
     };
-    of_client(c->start());
+    on_client_step(c->start());
     for (std::size_t i = 0; i + 1 < bytes.size() && i < 400; i += 2) {
         const auto what = static_cast<unsigned char>(bytes[i]) % 10;
         const auto much = static_cast<unsigned char>(bytes[i + 1]);
@@ -115,8 +116,8 @@
             const auto n = std::min<std::size_t>(pipe.size(), much < 250 ? 1 + much * 8U : pipe.size());
             const std::string part = pipe.substr(0, n);
             pipe.erase(0, n);
-            if (what % 2 == 0) of_client(c->from_peer(part));
-            else of_server(s->from_peer(part));
+            if (what % 2 == 0) on_client_step(c->from_peer(part));
+            else on_server_step(s->from_peer(part));
         } else if (what < 6 && !pipe.empty()) {
             pipe[much * 7U % pipe.size()] ^= static_cast<char>(1 + much % 255);
             changed = true;
@@ -124,26 +125,26 @@
             pipe.insert(much % (pipe.size() + 1), bytes.substr(i, 9));
             changed = true;
         } else if (what == 7) {
-            of_client(c->send("question"));
+            on_client_step(c->send("question"));
         } else if (what == 8) {
             sent += "answer" + std::to_string(much);
-            of_server(s->send("answer" + std::to_string(much)));
+            on_server_step(s->send("answer" + std::to_string(much)));
         } else if (much < 40) {
-            of_client(c->peer_closed());
+            on_client_step(c->peer_closed());
         } else if (much < 80) {
-            of_server(s->close());
-            s_over = true;
+            on_server_step(s->close());
+            server_ended = true;
         }
     }
-    // Whatever became of the bytes: what comes out is what went in, as far as it goes.
-    require(sent.starts_with(got));
-    if (!changed && !c_over && !s_over) {
-        // And a talk that was only cut and held back comes to its end.
+    // However the bytes were changed, the received plaintext is a prefix of the sent plaintext.
+    require(sent.starts_with(received));
+    if (!changed && !client_ended && !server_ended) {
+        // A session whose bytes were only split and delayed must complete.
         while (!to_client.empty() || !to_server.empty()) {
-            of_server(s->from_peer(std::exchange(to_server, {})));
-            of_client(c->from_peer(std::exchange(to_client, {})));
+            on_server_step(s->from_peer(std::exchange(to_server, {})));
+            on_client_step(c->from_peer(std::exchange(to_client, {})));
         }
-        require(c->connected() && got == sent);
+        require(c->connected() && received == sent);
     }
 }
 
@@ -155,7 +156,7 @@
     switch (data[0] % 4) {
         case 0: files(bytes); break;
         case 1: names(bytes); break;
-        default: talk(bytes); break;
+        default: session(bytes); break;
     }
     return 0;
 }
