--- a/src/config/kdl/cursor.cpp
+++ b/src/config/kdl/cursor.cpp
@@ -22,8 +22,8 @@
         return;
     }
     const auto decoded = decode_utf8(text_.substr(offset_));
-    if (!decoded) fail("not UTF-8");
-    if (is_forbidden(decoded->value)) fail("a character that KDL does not allow");
+    if (!decoded) fail("invalid UTF-8");
+    if (is_forbidden(decoded->value)) fail("a character that is not allowed in KDL documents");
     current_ = decoded->value;
     width_ = decoded->bytes;
 }
@@ -75,7 +75,7 @@
     const SourcePosition begin = position_;
     int depth = 0;
     do {
-        if (at_end()) kdl::fail(begin, "comment without an end");
+        if (at_end()) kdl::fail(begin, "unterminated block comment");
         if (take("/*")) ++depth;
         else if (take("*/")) --depth;
         else next();
@@ -94,7 +94,7 @@
         else break;
     }
     if (starts_with("//")) skip_line_comment();
-    if (!at_end() && !is_newline(current_)) fail("after '\\' the line must end");
+    if (!at_end() && !is_newline(current_)) fail("expected the end of the line after '\\'");
     take_newline();
 }
 
--- a/src/config/kdl/cursor.hpp
+++ b/src/config/kdl/cursor.hpp
@@ -11,14 +11,14 @@
 
 namespace chalksail::kdl {
 
-// Thrown by the parser's parts and caught in parse(); never leaves the package.
+// The exception for invalid input inside the parser. parse() catches it and returns its error.
 struct SyntaxError {
     Error error;
 };
 [[noreturn]] void fail(SourcePosition position, std::string text);
 
-// Copying one saves the position. Throws SyntaxError at invalid or forbidden code points. The text must
-// outlive it.
+// A copy of a cursor saves its position. Throws SyntaxError at invalid or forbidden code points. The text
+// must outlive the cursor.
 class Cursor {
 public:
     explicit Cursor(std::string_view text);
@@ -27,27 +27,27 @@
     [[nodiscard]] char32_t current() const { return current_; }
     [[nodiscard]] bool at_end() const { return current_ == kEndOfText; }
     [[nodiscard]] SourcePosition position() const { return position_; }
-    // Bytes from the beginning of the text.
+    // The offset from the beginning of the text in bytes.
     [[nodiscard]] std::size_t offset() const { return offset_; }
-    // The byte `ahead` bytes from here, or kEndOfText.
+    // The byte that is `ahead` bytes after this position, or kEndOfText.
     [[nodiscard]] char32_t peek(std::size_t ahead) const;
     [[nodiscard]] bool starts_with(std::string_view text) const;
 
     void next();
-    // Skips `ascii` if it is next; false if it is not.
+    // Skips `ascii` if the text continues with it. Returns whether it did.
     bool take(std::string_view ascii);
-    // Skips one newline, if it is next.
+    // Skips one newline if the text continues with one.
     void take_newline();
     // Reads the longest run of identifier characters, which may be empty.
     [[nodiscard]] std::string take_identifier();
 
-    // Skips white space, block comments and continued lines; false if there was none.
+    // Skips white space, block comments and line continuations. Returns false if there were none.
     bool skip_node_space();
-    // Skips the same and newlines and line comments.
+    // Skips what skip_node_space() skips, and also newlines and line comments.
     void skip_line_space();
     void skip_line_comment();
 
-    // Throws SyntaxError for this position.
+    // Throws SyntaxError with this position.
     [[noreturn]] void fail(std::string text) const { kdl::fail(position_, std::move(text)); }
 
 private:
--- a/src/config/kdl/kdl.hpp
+++ b/src/config/kdl/kdl.hpp
@@ -1,6 +1,6 @@
-// A parser of the KDL 2 document language (https://kdl.dev/spec). It turns a text into a tree of nodes, each
-// with its place, or into the first error with line and column. The result owns its data and does not refer
-// to the text. No I/O, no threads, no exceptions for invalid input.
+// A parser of the KDL 2 document language (https://kdl.dev/spec). It returns a tree of nodes with their
+// positions, or the first error with line and column. The result owns its data and does not refer to the
+// text. The parser does no I/O, starts no threads and throws no exceptions for invalid input.
 //
 // Its parts: characters.hpp (code points), cursor.hpp (position, white space, comments), strings.hpp,
 // numbers.hpp, parser.hpp (nodes and values).
@@ -17,10 +17,10 @@
 
 namespace chalksail::kdl {
 
-// Of nested children; bounds the parser's recursion.
+// The maximum nesting of children, which bounds the parser's recursion.
 inline constexpr int kMaxDepth = 64;
 
-// A position in a text: line and column from 1, columns in code points.
+// A position in a text. Lines and columns count from 1, columns in code points.
 struct SourcePosition {
     std::size_t line = 1;
     std::size_t column = 1;
@@ -28,19 +28,20 @@
 
 struct Error {
     SourcePosition position;
-    std::string text;  // without the place
+    std::string text;  // without the position
 };
 
 struct Null {
     friend bool operator==(Null, Null) = default;
 };
-// Whole numbers that fit are std::int64_t; all other numbers are double.
+// A number without a fraction or an exponent is std::int64_t, and an error if it is out of range. All other
+// numbers are double.
 using Scalar = std::variant<Null, bool, std::int64_t, double, std::string>;
 
 // An argument, or the value of a property.
 struct Value {
     Scalar scalar;
-    std::optional<std::string> type;  // the annotation, as in (ms)250
+    std::optional<std::string> type;  // type annotation, as in (ms)250
     SourcePosition position;
 };
 
@@ -55,10 +56,10 @@
     std::string name;
     std::optional<std::string> type;
     std::vector<Value> arguments;
-    std::vector<Property> properties;  // the last of a name wins, as KDL says; earlier ones are dropped
+    std::vector<Property> properties;  // unique names: the last property of a name wins, as KDL specifies
     std::vector<Node> children;
     SourcePosition position;
-    // The bytes between the braces of the children, as offsets into the text; equal if there are none.
+    // The range between the braces of the children, as byte offsets into the text; empty if there are none.
     std::size_t children_begin = 0;
     std::size_t children_end = 0;
 };
@@ -70,7 +71,7 @@
 // Parses a document in UTF-8.
 [[nodiscard]] tl::expected<Document, Error> parse(std::string_view text);
 
-// The text as a quoted KDL string, with escapes.
+// Returns the text as a quoted KDL string with escapes.
 [[nodiscard]] std::string quote(std::string_view text);
 
 }  // namespace chalksail::kdl
--- a/src/config/kdl/numbers.cpp
+++ b/src/config/kdl/numbers.cpp
@@ -23,7 +23,7 @@
     }
 }
 
-// The digits without '_', which may only stand behind a digit; none if it stands elsewhere.
+// Removes each '_'. Returns nullopt if one does not follow a digit.
 std::optional<std::string> without_underscores(std::string_view text) {
     std::string digits;
     for (const char c : text) {
@@ -45,7 +45,7 @@
 }
 
 tl::expected<Scalar, NumberError> parse_real(std::string digits, bool negative) {
-    // KDL wants digits on both sides of the point, and in the exponent.
+    // KDL requires digits on both sides of the point and in the exponent.
     const auto point = digits.find('.');
     if (point != std::string::npos &&
         (point + 1 >= digits.size() || !std::isdigit(static_cast<unsigned char>(digits[point + 1]))))
@@ -70,7 +70,7 @@
         case NumberError::too_large: return "is too large";
         case NumberError::out_of_range: return "is out of range";
     }
-    return "is no number";
+    return "is not a valid number";
 }
 
 tl::expected<Scalar, NumberError> parse_number(std::string_view text) {
--- a/src/config/kdl/numbers.hpp
+++ b/src/config/kdl/numbers.hpp
@@ -1,4 +1,4 @@
-// KDL's numbers: decimal, hexadecimal (0x), octal (0o) and binary (0b), with '_' between digits.
+// A parser of KDL's numbers: decimal, hexadecimal (0x), octal (0o) and binary (0b), with '_' between digits.
 #pragma once
 
 #include <string>
@@ -11,12 +11,12 @@
 
 enum class NumberError {
     malformed,
-    too_large,     // a whole number that std::int64_t does not hold
-    out_of_range,  // a real number that double does not hold
+    too_large,     // an integer that does not fit into std::int64_t
+    out_of_range,  // a real number that does not fit into double
 };
 [[nodiscard]] const char* describe(NumberError error);
 
-// `text`: one that begins with a digit, or with a sign and a digit.
+// Parses a number. `text` must begin with a digit, or with a sign and a digit.
 [[nodiscard]] tl::expected<Scalar, NumberError> parse_number(std::string_view text);
 
 }  // namespace chalksail::kdl
--- a/src/config/kdl/parser.cpp
+++ b/src/config/kdl/parser.cpp
@@ -11,7 +11,7 @@
 Document Parser::document() {
     Document document;
     document.nodes = nodes(0);
-    if (!cursor_.at_end()) cursor_.fail("'}' without a '{'");
+    if (!cursor_.at_end()) cursor_.fail("'}' without a matching '{'");
     return document;
 }
 
@@ -23,7 +23,7 @@
         while (cursor_.take(";")) cursor_.skip_line_space();
         if (at_end_of_nodes()) return nodes;
         const bool commented_out = take_slashdash();
-        if (commented_out && at_end_of_nodes()) cursor_.fail("'/-' with nothing to leave out");
+        if (commented_out && at_end_of_nodes()) cursor_.fail("expected a node to comment out after '/-'");
         Node parsed = node(depth);
         if (!commented_out) nodes.push_back(std::move(parsed));
     }
@@ -33,31 +33,32 @@
     Node node;
     node.position = cursor_.position();
     node.type = annotation();
-    if (at_number()) cursor_.fail("a node's name can't be a number");
-    node.name = parse_string(cursor_, "a node's name");
+    if (at_number()) cursor_.fail("a node name must not be a number");
+    node.name = parse_string(cursor_, "a node name");
     bool has_children = false;
     for (;;) {
         const bool spaced = cursor_.skip_node_space();
         if (take_end_of_node()) return node;
         const bool commented_out = take_slashdash();
         if (cursor_.current() == '{') {
-            if (has_children && !commented_out) cursor_.fail("a second block of children");
+            if (has_children && !commented_out)
+                cursor_.fail("a node must not have a second block of children");
             children(commented_out ? nullptr : &node, depth);
             has_children = has_children || !commented_out;
             continue;
         }
-        if (has_children) cursor_.fail("after its children a node must end");
-        if (!spaced && !commented_out) cursor_.fail("space wanted before the next value");
+        if (has_children) cursor_.fail("expected the end of the node after its children");
+        if (!spaced && !commented_out) cursor_.fail("expected white space before the next value");
         entry(node, commented_out);
     }
 }
 
-// `parent`: nullptr for a block that is commented out.
+// Parses a block of children. `parent` is nullptr for a block that is commented out.
 void Parser::children(Node* parent, int depth) {
     cursor_.next();  // '{'
     const std::size_t begin = cursor_.offset();
     auto inner = nodes(depth + 1);
-    if (cursor_.current() != '}') cursor_.fail("'}' wanted");
+    if (cursor_.current() != '}') cursor_.fail("expected '}'");
     if (parent != nullptr) {
         parent->children = std::move(inner);
         parent->children_begin = begin;
@@ -73,7 +74,7 @@
     Value first = value();
     const bool may_be_name = !annotated && std::holds_alternative<std::string>(first.scalar);
     const Cursor behind_first = cursor_;
-    if (may_be_name) cursor_.skip_node_space();  // allowed around the '='
+    if (may_be_name) cursor_.skip_node_space();  // white space is allowed around '='
     if (!may_be_name || cursor_.current() != '=') {
         cursor_ = behind_first;
         if (!commented_out) node.arguments.push_back(std::move(first));
@@ -90,9 +91,9 @@
 std::optional<std::string> Parser::annotation() {
     if (!cursor_.take("(")) return std::nullopt;
     cursor_.skip_node_space();
-    std::string type = parse_string(cursor_, "a type's name");
+    std::string type = parse_string(cursor_, "a type name");
     cursor_.skip_node_space();
-    if (!cursor_.take(")")) cursor_.fail("')' wanted");
+    if (!cursor_.take(")")) cursor_.fail("expected ')'");
     cursor_.skip_node_space();
     return type;
 }
@@ -105,7 +106,7 @@
     const char32_t c = cursor_.current();
     const bool delimited = cursor_.at_end() || is_space(c) || is_newline(c) ||
                            std::u32string_view(U";{}=\\/").find(c) != std::u32string_view::npos;
-    if (!delimited) cursor_.fail("space wanted after a value");
+    if (!delimited) cursor_.fail("expected white space after a value");
     return value;
 }
 
@@ -144,7 +145,7 @@
 
 bool Parser::at_end_of_nodes() const { return cursor_.at_end() || cursor_.current() == '}'; }
 
-// A '}' ends a node too, but belongs to the parent.
+// A '}' also ends a node, but is not skipped, because it closes the parent's block of children.
 bool Parser::take_end_of_node() {
     if (at_end_of_nodes()) return true;
     if (is_newline(cursor_.current()) || cursor_.current() == ';') {
@@ -156,7 +157,7 @@
     return true;
 }
 
-// "/-" comments out what follows.
+// Skips "/-", which comments out the next node, entry or block of children.
 bool Parser::take_slashdash() {
     if (!cursor_.take("/-")) return false;
     cursor_.skip_line_space();
--- a/src/config/kdl/parser.hpp
+++ b/src/config/kdl/parser.hpp
@@ -11,7 +11,7 @@
 
 namespace chalksail::kdl {
 
-// Parses one text, once. Throws SyntaxError.
+// Parses one text; use once. Throws SyntaxError.
 class Parser {
 public:
     explicit Parser(std::string_view text) : cursor_(text) {}
--- a/src/config/kdl/strings.cpp
+++ b/src/config/kdl/strings.cpp
@@ -9,9 +9,9 @@
 constexpr std::string_view kMultiLineQuote = "\"\"\"";
 constexpr int kMaxEscapeDigits = 6;
 
-// Parses \u{...}, from behind the u. `begin`: of the escape.
+// Parses \u{...}, starting after the 'u'. `begin` is the position of the 'u', for errors.
 char32_t unicode_escape(Cursor& cursor, SourcePosition begin) {
-    if (cursor.current() != '{') cursor.fail("'{' wanted after \\u");
+    if (cursor.current() != '{') cursor.fail("expected '{' after \\u");
     cursor.next();
     char32_t code_point = 0;
     int count = 0;
@@ -22,14 +22,16 @@
         code_point = code_point * 16 + digit;
         cursor.next();
     }
-    if (count == 0 || cursor.current() != '}') cursor.fail("\\u{...} wants one to six hexadecimal digits");
+    if (count == 0 || cursor.current() != '}')
+        cursor.fail("\\u{...} must have one to six hexadecimal digits");
     cursor.next();
     const bool surrogate = code_point >= 0xd800 && code_point <= 0xdfff;
-    if (code_point > 0x10ffff || surrogate) fail(begin, "\\u{...} is no character");
+    if (code_point > 0x10ffff || surrogate) fail(begin, "\\u{...} is not a valid code point");
     return code_point;
 }
 
-// Parses an escape, from its backslash, and appends what it stands for.
+// Parses an escape, starting at its backslash, and appends the decoded text. A backslash before white space
+// skips all of that white space.
 void escape(Cursor& cursor, std::string& out) {
     cursor.next();  // the backslash
     if (is_space(cursor.current()) || is_newline(cursor.current())) {
@@ -49,15 +51,15 @@
         case '\\':
         case '"': out += static_cast<char>(c); return;
         case 'u': append_utf8(out, unicode_escape(cursor, begin)); return;
-        default: fail(begin, "unknown escape");
+        default: fail(begin, "unknown escape sequence");
     }
 }
 
-// Fails at the end of the text or of the line, for strings that must end before.
+// Throws SyntaxError at the end of the text or line, where a single-line string must not continue.
 void expect_string_char(const Cursor& cursor, SourcePosition begin) {
-    if (cursor.at_end()) fail(begin, "string without an end");
+    if (cursor.at_end()) fail(begin, "unterminated string");
     if (is_newline(cursor.current()))
-        cursor.fail("a line ends inside a string (\"\"\" starts one of several lines)");
+        cursor.fail("newline in a single-line string (\"\"\" begins a multi-line string)");
 }
 
 std::string quoted_string(Cursor& cursor) {
@@ -77,21 +79,21 @@
     return out;
 }
 
-// One line of a string of several lines.
+// One line of a multi-line string.
 struct Line {
-    std::string text;    // escapes resolved, with its indentation
-    std::string indent;  // literal white space at its beginning
-    bool blank = true;   // nothing but literal white space
+    std::string text;    // with its indentation and with escapes decoded
+    std::string indent;  // literal white space at the beginning
+    bool blank = true;   // contains only literal white space
     SourcePosition position;
 };
 
-// Reads the lines up to the closing quotes and moves behind these.
+// Reads the lines up to the closing quotes and moves the cursor behind the quotes.
 std::vector<Line> read_lines(Cursor& cursor, SourcePosition begin, std::size_t hashes) {
     const std::string close = std::string(kMultiLineQuote) + std::string(hashes, '#');
     std::vector<Line> lines(1);
     lines.back().position = cursor.position();
     while (!cursor.take(close)) {
-        if (cursor.at_end()) fail(begin, "string without an end");
+        if (cursor.at_end()) fail(begin, "unterminated string");
         Line& line = lines.back();
         if (is_newline(cursor.current())) {
             cursor.take_newline();
@@ -109,16 +111,16 @@
     return lines;
 }
 
-// The white space before the closing quotes is removed from every line.
+// Parses a multi-line string. Removes the white space before the closing quotes from every line.
 std::string multi_line_string(Cursor& cursor, std::size_t hashes) {
     const SourcePosition begin = cursor.position();
     cursor.take(kMultiLineQuote);
-    if (!is_newline(cursor.current())) cursor.fail("after \"\"\" a new line must begin");
+    if (!is_newline(cursor.current())) cursor.fail("expected a newline after the opening \"\"\"");
     cursor.take_newline();
     std::vector<Line> lines = read_lines(cursor, begin, hashes);
     const Line last = std::move(lines.back());
     lines.pop_back();
-    if (!last.blank) fail(last.position, "the closing \"\"\" must stand on a line of its own");
+    if (!last.blank) fail(last.position, "the closing \"\"\" must be on a line of its own");
     std::string out;
     for (std::size_t i = 0; i < lines.size(); ++i) {
         if (i > 0) out += '\n';
@@ -137,7 +139,7 @@
         ++hashes;
         cursor.next();
     }
-    if (cursor.current() != '"') fail(begin, "'\"' wanted after '#'");
+    if (cursor.current() != '"') fail(begin, "expected '\"' after '#'");
     if (cursor.starts_with(kMultiLineQuote)) return multi_line_string(cursor, hashes);
     const std::string close = "\"" + std::string(hashes, '#');
     cursor.next();
@@ -150,7 +152,7 @@
     return out;
 }
 
-// ".5" and "-.5", which KDL does not allow as identifiers.
+// Returns whether the identifier is one such as ".5" or "-.5", which KDL does not allow.
 bool resembles_number(const std::string& identifier) {
     const std::size_t sign = identifier[0] == '+' || identifier[0] == '-' ? 1 : 0;
     return identifier.size() > sign + 1 && identifier[sign] == '.' &&
@@ -160,11 +162,12 @@
 std::string identifier_string(Cursor& cursor, const char* wanted) {
     const SourcePosition begin = cursor.position();
     std::string identifier = cursor.take_identifier();
-    if (identifier.empty()) fail(begin, std::string(wanted) + " wanted");
+    if (identifier.empty()) fail(begin, "expected " + std::string(wanted));
     if (resembles_number(identifier))
         fail(begin, "'" + identifier + "' looks like a number: put it in quotes");
     for (const char* keyword : {"true", "false", "null", "inf", "-inf", "nan"})
-        if (identifier == keyword) fail(begin, "'" + identifier + "' needs a '#' before it, or quotes");
+        if (identifier == keyword)
+            fail(begin, "'" + identifier + "' must have a '#' before it or be in quotes");
     return identifier;
 }
 
--- a/src/config/kdl/strings.hpp
+++ b/src/config/kdl/strings.hpp
@@ -1,4 +1,4 @@
-// KDL's strings: identifiers, quoted, raw, and of several lines.
+// A parser of KDL's strings: identifier, quoted, raw and multi-line strings.
 #pragma once
 
 #include <string>
@@ -7,8 +7,8 @@
 
 namespace chalksail::kdl {
 
-// Parses the string at the cursor and moves behind it. `wanted` names what it stands for, in the error for
-// anything else. Throws SyntaxError.
+// Parses the string at the cursor and moves the cursor behind it. Throws SyntaxError if there is no valid
+// string; `wanted` describes the expected text in the error, such as "a value".
 [[nodiscard]] std::string parse_string(Cursor& cursor, const char* wanted);
 
 }  // namespace chalksail::kdl
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -7,7 +7,7 @@
 namespace chalksail::config {
 namespace {
 
-// Edit distance (Levenshtein), by rows.
+// Returns the Levenshtein distance. Keeps only one row of the dynamic-programming table.
 std::size_t distance(std::string_view a, std::string_view b) {
     std::vector<std::size_t> row(b.size() + 1);
     std::iota(row.begin(), row.end(), std::size_t{0});
@@ -30,22 +30,24 @@
     return text;
 }
 
-std::string range(double least, double most) {
-    return " from " + format_number(least) + " to " + format_number(most);
+std::string range(double minimum, double maximum) {
+    return " from " + format_number(minimum) + " to " + format_number(maximum);
 }
 
-// The values of scalars; none if the scalar is of another type or out of range.
-std::optional<std::int64_t> whole_within(const kdl::Scalar& scalar, std::int64_t least, std::int64_t most) {
+// The next three functions return the scalar's value, or nullopt if it has another type, is out of range or
+// is malformed.
+std::optional<std::int64_t> integer_within(const kdl::Scalar& scalar, std::int64_t minimum,
+                                           std::int64_t maximum) {
     const auto* number = std::get_if<std::int64_t>(&scalar);
-    if (number == nullptr || *number < least || *number > most) return std::nullopt;
+    if (number == nullptr || *number < minimum || *number > maximum) return std::nullopt;
     return *number;
 }
-std::optional<double> real_within(const kdl::Scalar& scalar, double least, double most) {
+std::optional<double> real_within(const kdl::Scalar& scalar, double minimum, double maximum) {
     double number = 0;
     if (const auto* whole = std::get_if<std::int64_t>(&scalar)) number = static_cast<double>(*whole);
     else if (const auto* real = std::get_if<double>(&scalar)) number = *real;
     else return std::nullopt;
-    if (!(number >= least && number <= most)) return std::nullopt;
+    if (!(number >= minimum && number <= maximum)) return std::nullopt;
     return number;
 }
 std::optional<Duration> as_duration(const kdl::Scalar& scalar) {
@@ -53,8 +55,8 @@
     return text == nullptr ? std::nullopt : parse_duration(*text);
 }
 
-std::string integer_range(std::int64_t least, std::int64_t most) {
-    return range(static_cast<double>(least), static_cast<double>(most));
+std::string integer_range(std::int64_t minimum, std::int64_t maximum) {
+    return range(static_cast<double>(minimum), static_cast<double>(maximum));
 }
 
 bool is_nonempty_text(const kdl::Value& value) {
@@ -71,10 +73,10 @@
 
 std::string nearest(std::string_view wrong, const std::set<std::string>& known) {
     std::string best;
-    std::size_t least = std::max<std::size_t>(2, wrong.size() / 3) + 1;
+    std::size_t minimum = std::max<std::size_t>(2, wrong.size() / 3) + 1;
     for (const auto& name : known)
-        if (const auto d = distance(wrong, name); d < least) {
-            least = d;
+        if (const auto d = distance(wrong, name); d < minimum) {
+            minimum = d;
             best = name;
         }
     return best;
@@ -106,21 +108,22 @@
     const kdl::Node* node = only(name, need);
     if (node == nullptr) return nullptr;
     if (node->arguments.size() != 1 || !node->properties.empty() || !node->children.empty()) {
-        problems_.add(node->position, "'" + node->name + "' wants exactly one value");
+        problems_.add(node->position,
+                      "'" + node->name + "' must have exactly one value, and no properties or children");
         return nullptr;
     }
     return &node->arguments.front();
 }
 
 void Block::wrong(const kdl::Value& value, const char* name, const std::string& wanted) {
-    problems_.add(value.position, std::string("'") + name + "' wants " + wanted);
+    problems_.add(value.position, std::string("'") + name + "' must be " + wanted);
 }
 
 bool Block::text(const char* name, std::string& out, Need need) {
     const auto* found = value(name, need);
     if (found == nullptr) return false;
     const auto* text = std::get_if<std::string>(&found->scalar);
-    if (text == nullptr || text->empty()) return wrong(*found, name, "a string"), false;
+    if (text == nullptr || text->empty()) return wrong(*found, name, "a non-empty string"), false;
     out = *text;
     return true;
 }
@@ -138,7 +141,7 @@
     const auto* found = value(name, need);
     if (found == nullptr) return false;
     const auto parsed = as_duration(found->scalar);
-    if (!parsed) return wrong(*found, name, "a time such as \"250ms\" or \"5s\""), false;
+    if (!parsed) return wrong(*found, name, "a duration such as \"250ms\" or \"5s\""), false;
     out = *parsed;
     return true;
 }
@@ -153,20 +156,21 @@
     return true;
 }
 
-bool Block::integer(const char* name, std::int64_t& out, std::int64_t least, std::int64_t most, Need need) {
+bool Block::integer(const char* name, std::int64_t& out, std::int64_t minimum, std::int64_t maximum,
+                    Need need) {
     const auto* found = value(name, need);
     if (found == nullptr) return false;
-    const auto number = whole_within(found->scalar, least, most);
-    if (!number) return wrong(*found, name, "a whole number" + integer_range(least, most)), false;
+    const auto number = integer_within(found->scalar, minimum, maximum);
+    if (!number) return wrong(*found, name, "an integer" + integer_range(minimum, maximum)), false;
     out = *number;
     return true;
 }
 
-bool Block::real(const char* name, double& out, double least, double most, Need need) {
+bool Block::real(const char* name, double& out, double minimum, double maximum, Need need) {
     const auto* found = value(name, need);
     if (found == nullptr) return false;
-    const auto number = real_within(found->scalar, least, most);
-    if (!number) return wrong(*found, name, "a number" + range(least, most)), false;
+    const auto number = real_within(found->scalar, minimum, maximum);
+    if (!number) return wrong(*found, name, "a number" + range(minimum, maximum)), false;
     out = *number;
     return true;
 }
@@ -189,7 +193,7 @@
     const auto* text = std::get_if<std::string>(&found->scalar);
     const auto it = text == nullptr ? words.end() : std::find(words.begin(), words.end(), *text);
     if (it == words.end()) {
-        std::string wanted = "one of";
+        std::string wanted = "one of:";
         for (const auto& w : words) wanted += " " + w;
         if (text != nullptr) wanted += did_you_mean(*text, {words.begin(), words.end()});
         return wrong(*found, name, wanted), false;
@@ -198,14 +202,16 @@
     return true;
 }
 
-bool Block::wholes(const char* name, std::vector<int>& out, std::int64_t least, std::int64_t most) {
+bool Block::integers(const char* name, std::vector<int>& out, std::int64_t minimum, std::int64_t maximum) {
     const kdl::Node* node = only(name, Need::optional);
     if (node == nullptr) return false;
     if (!node->properties.empty() || !node->children.empty())
-        problems_.add(node->position, "'" + node->name + "' wants values only");
+        problems_.add(node->position,
+                      "'" + node->name + "' must have only values, no properties or children");
     for (const auto& v : node->arguments) {
-        if (const auto number = whole_within(v.scalar, least, most)) out.push_back(static_cast<int>(*number));
-        else wrong(v, name, "whole numbers" + integer_range(least, most));
+        if (const auto number = integer_within(v.scalar, minimum, maximum))
+            out.push_back(static_cast<int>(*number));
+        else wrong(v, name, "a list of integers" + integer_range(minimum, maximum));
     }
     return true;
 }
@@ -216,8 +222,9 @@
         if (n.name != name) continue;
         const bool texts = std::all_of(n.arguments.begin(), n.arguments.end(), is_nonempty_text);
         if (n.arguments.size() != arguments || !texts) {
-            problems_.add(n.position, std::string("'") + name + "' wants " + std::to_string(arguments) +
-                                          (arguments == 1 ? " name" : " names"));
+            problems_.add(n.position,
+                          std::string("'") + name + "' must have exactly " + std::to_string(arguments) +
+                              (arguments == 1 ? " non-empty string value" : " non-empty string values"));
             continue;
         }
         read(n);
@@ -236,10 +243,10 @@
     : node_(node), problems_(problems) {
     for (const auto& p : node.properties)
         if (!known.contains(p.name))
-            problems.add(p.position,
-                         "'" + node.name + "' has no '" + p.name + "'" + did_you_mean(p.name, known));
+            problems.add(p.position, "'" + node.name + "' has no property '" + p.name + "'" +
+                                         did_you_mean(p.name, known));
     if (node.arguments.size() > arguments)
-        problems.add(node.arguments[arguments].position, "'" + node.name + "' wants no more values");
+        problems.add(node.arguments[arguments].position, "'" + node.name + "' has too many values");
 }
 
 const kdl::Property* Properties::find(const char* name) const {
@@ -253,7 +260,7 @@
     const auto* property = find(name);
     if (property == nullptr) return {};
     if (const auto* text = std::get_if<std::string>(&property->value.scalar)) return *text;
-    problems_.add(property->position, "'" + property->name + "' wants a string");
+    problems_.add(property->position, "'" + property->name + "' must be a string");
     return {};
 }
 
@@ -262,31 +269,34 @@
     if (property == nullptr) return false;
     const auto parsed = as_duration(property->value.scalar);
     if (!parsed)
-        return problems_.add(property->position, "'" + property->name + "' wants a time such as \"250ms\""),
+        return problems_.add(property->position,
+                             "'" + property->name + "' must be a duration such as \"250ms\""),
                false;
     out = *parsed;
     return true;
 }
 
-bool Properties::integer(const char* name, std::int64_t& out, std::int64_t least, std::int64_t most) const {
+bool Properties::integer(const char* name, std::int64_t& out, std::int64_t minimum,
+                         std::int64_t maximum) const {
     const auto* property = find(name);
     if (property == nullptr) return false;
-    const auto number = whole_within(property->value.scalar, least, most);
+    const auto number = integer_within(property->value.scalar, minimum, maximum);
     if (!number) {
         problems_.add(property->position,
-                      "'" + property->name + "' wants a whole number" + integer_range(least, most));
+                      "'" + property->name + "' must be an integer" + integer_range(minimum, maximum));
         return false;
     }
     out = *number;
     return true;
 }
 
-bool Properties::real(const char* name, double& out, double least, double most) const {
+bool Properties::real(const char* name, double& out, double minimum, double maximum) const {
     const auto* property = find(name);
     if (property == nullptr) return false;
-    const auto number = real_within(property->value.scalar, least, most);
+    const auto number = real_within(property->value.scalar, minimum, maximum);
     if (!number) {
-        problems_.add(property->position, "'" + property->name + "' wants a number" + range(least, most));
+        problems_.add(property->position,
+                      "'" + property->name + "' must be a number" + range(minimum, maximum));
         return false;
     }
     out = *number;
--- a/src/config/schema.hpp
+++ b/src/config/schema.hpp
@@ -1,6 +1,6 @@
-// Typed reading of KDL nodes. The reader of a block asks for each setting it knows; what is left over is an
-// error with its place and the nearest known name. Errors are collected, so that one check reports all of
-// them.
+// Typed reading of KDL nodes. The caller reads each setting that it supports from a block; every other
+// setting is reported as an error with its position and the most similar supported name. Errors are
+// collected, so that one check reports all of them.
 #pragma once
 
 #include <functional>
@@ -21,7 +21,7 @@
     kdl::SourcePosition position;
     std::string text;
 };
-// "file:line:column: text"
+// Formats a problem as "file:line:column: text".
 [[nodiscard]] std::string format(const Problem& problem);
 
 // Collects the errors of one file. Not thread-safe.
@@ -38,37 +38,37 @@
     std::vector<Problem> all_;
 };
 
-// The name in `known` with the smallest edit distance to `wrong`; empty if none is close.
+// Returns the name in `known` with the smallest edit distance to `wrong`, or "" if none is similar.
 [[nodiscard]] std::string nearest(std::string_view wrong, const std::set<std::string>& known);
-// "; did you mean 'name'?" with the nearest name, or nothing.
+// Returns "; did you mean 'name'?" with the nearest name, or "" if there is none.
 [[nodiscard]] std::string did_you_mean(std::string_view wrong, const std::set<std::string>& known);
 
 enum class Need { optional, required };
 
 // Reads the children of one node, or the nodes of a document, each a setting. Call done() last.
 //
-// The functions that read one setting return true and set `out` if the setting is there and valid. They leave
-// `out` as it is if the setting is missing, which is a problem only for Need::required, or invalid, which
-// always is one.
+// The functions that read one setting return true and set `out` if the setting is present and valid.
+// Otherwise they return false and do not change `out`. They add a problem if the setting is invalid, or if it
+// is missing and Need::required.
 class Block {
 public:
-    // `where`: names the block in problems. `nodes` and `problems` must outlive the block.
+    // `where` is the name of the block in problems. `nodes` and `problems` must outlive the block.
     Block(const std::vector<kdl::Node>& nodes, kdl::SourcePosition position, std::string where,
           Problems& problems);
 
-    // A setting with exactly one value: `name value`.
+    // Read a setting with exactly one value: `name value`.
     bool text(const char* name, std::string& out, Need need = Need::optional);
     bool boolean(const char* name, bool& out);
     bool duration(const char* name, Duration& out, Need need = Need::optional);
     bool size(const char* name, std::size_t& out);
-    bool integer(const char* name, std::int64_t& out, std::int64_t least, std::int64_t most,
+    bool integer(const char* name, std::int64_t& out, std::int64_t minimum, std::int64_t maximum,
                  Need need = Need::optional);
-    bool real(const char* name, double& out, double least, double most, Need need = Need::optional);
+    bool real(const char* name, double& out, double minimum, double maximum, Need need = Need::optional);
     bool address(const char* name, Address& out, Need need = Need::optional);
-    // A setting with one of these words; `out` is the word's place among them.
+    // Reads a setting whose value is one of `words`. Sets `out` to the index of the word.
     bool word(const char* name, const std::vector<std::string>& words, std::size_t& out,
               Need need = Need::optional);
-    // The same for an enum whose values are named by the words, in order from 0.
+    // Reads an enum. `words` are the names of its values, in order from 0.
     template <class Enum>
     requires std::is_enum_v<Enum>
     bool word(const char* name, const std::vector<std::string>& words, Enum& out,
@@ -78,12 +78,13 @@
         out = static_cast<Enum>(position);
         return true;
     }
-    // A setting with any number of whole numbers.
-    bool wholes(const char* name, std::vector<int>& out, std::int64_t least, std::int64_t most);
-    // Calls `read` for each setting of that name that has exactly `arguments` strings; any other is a
-    // problem.
+    // Appends the values of a setting with any number of integers. Adds a problem for each invalid value and
+    // skips it. Returns false only if the setting is missing.
+    bool integers(const char* name, std::vector<int>& out, std::int64_t minimum, std::int64_t maximum);
+    // Calls `read` for each setting of that name with exactly `arguments` non-empty strings. Adds a problem
+    // for each other setting of that name.
     void each(const char* name, std::size_t arguments, const std::function<void(const kdl::Node&)>& read);
-    // Adds a problem for each setting that was not asked for.
+    // Adds a problem for each setting whose name was not passed to any of the functions above.
     void done();
 
 private:
@@ -98,7 +99,8 @@
     std::set<std::string> known_;
 };
 
-// Reads the properties of one node, each a string. A missing one leaves `out` as it is.
+// Reads the properties of one node. The functions leave `out` unchanged if the property is missing or
+// invalid; an invalid one is a problem.
 class Properties {
 public:
     // Adds a problem for each property whose name is not in `known`, and for arguments beyond `arguments`.
@@ -107,8 +109,8 @@
     [[nodiscard]] std::string text(const char* name) const;
     [[nodiscard]] bool has(const char* name) const;
     bool duration(const char* name, Duration& out) const;
-    bool integer(const char* name, std::int64_t& out, std::int64_t least, std::int64_t most) const;
-    bool real(const char* name, double& out, double least, double most) const;
+    bool integer(const char* name, std::int64_t& out, std::int64_t minimum, std::int64_t maximum) const;
+    bool real(const char* name, double& out, double minimum, double maximum) const;
 
 private:
     [[nodiscard]] const kdl::Property* find(const char* name) const;
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -9,7 +9,8 @@
 
 std::string name_of(const kdl::Node& node) { return std::get<std::string>(node.arguments.front().scalar); }
 
-// Reads one document, once. The order of the settings is that of the problems reported.
+// Reads the settings from a document; use once. Problems are reported in the order in which settings are
+// read.
 class SettingsReader {
 public:
     SettingsReader(const kdl::Document& document, Problems& problems)
@@ -57,7 +58,7 @@
         router.prefill_on_decode_enabled = true;
     }
 
-    // A block without arguments that may be given once.
+    // Reads a block that has no arguments and may occur at most once.
     template <class Read>
     void once(Block& top, const char* name, Read read) {
         bool seen = false;
@@ -71,8 +72,8 @@
         });
     }
 
-    // Adds a problem if another node of this sort has the same name. Returns the node's description for other
-    // problems: "class 'chat'", for example.
+    // Adds a problem if `names` already contains the node's name. Returns a description of the node for other
+    // problems, such as "class 'chat'".
     std::string unique_name(const char* what, const kdl::Node& node, std::set<std::string>& names) {
         const std::string name = name_of(node);
         std::string described = std::string(what) + " '" + name + "'";
@@ -189,7 +190,7 @@
         block.integer("admin-connections", limits.admin_connections, 1, 100'000);
         if (limits.unverified_backoff <= Duration::zero() ||
             limits.unverified_backoff_max < limits.unverified_backoff)
-            problems_.add({}, "'unverified-pause' must be above 0, and 'unverified-longest' no shorter");
+            problems_.add({}, "'unverified-pause' must be above 0 and at most 'unverified-longest'");
         if (limits.tls_poll_interval < std::chrono::milliseconds(10))
             problems_.add({}, "'tls-look' must be 10ms or more");
     }
@@ -217,7 +218,7 @@
         block.done();
         if (settings.first_token_objective <= Duration::zero() ||
             settings.deadline < settings.first_token_objective)
-            problems_.add(node.position, described + ": the aim must be above 0 and within the deadline");
+            problems_.add(node.position, described + ": 'aim' must be above 0 and at most 'deadline'");
         out_.router.classes.push_back(std::move(settings));
         out_.classes.push_back(std::move(config));
     }
@@ -227,9 +228,9 @@
         ClassRule rule{properties.text("model"), properties.text("path"), properties.text("header"),
                        properties.text("is")};
         if (rule.model.empty() && rule.path.empty() && rule.header.empty())
-            problems_.add(when.position, "'when' wants a model, a path or a header");
+            problems_.add(when.position, "'when' must have a model, a path or a header");
         if (!rule.header_value.empty() && rule.header.empty())
-            problems_.add(when.position, "'is' goes with a header");
+            problems_.add(when.position, "'is' requires a header");
         return rule;
     }
 
@@ -252,9 +253,10 @@
         block.text("key", tls.key);
         block.done();
         if (tls.certificate.empty() != tls.key.empty())
-            problems_.add(node.position, "'tls' wants both 'certificate' and 'key', or neither");
+            problems_.add(node.position, "'tls' must have both 'certificate' and 'key', or neither");
         if (tls.name.empty() || tls.name.front() == '.')
-            problems_.add(node.position, "'name' must be a host name or an address, or hold {name}");
+            problems_.add(node.position,
+                          "'name' must be a host name, an address, or a pattern that contains {name}");
         if (out) problems_.add(node.position, "'tls' is given twice");
         out = std::move(tls);
     }
@@ -267,12 +269,12 @@
             const Properties properties(certificate, {"key"}, 1, problems_);
             ListenerTls::CertificateFiles pair{std::get<std::string>(certificate.arguments.front().scalar),
                                                properties.text("key")};
-            if (pair.key.empty()) problems_.add(certificate.position, "'certificate' wants key=");
+            if (pair.key.empty()) problems_.add(certificate.position, "'certificate' needs key=");
             tls.certificates.push_back(std::move(pair));
         });
         block.text("clients", tls.client_cas);
         block.done();
-        if (tls.certificates.empty()) problems_.add(node.position, "'listener-tls' wants a 'certificate'");
+        if (tls.certificates.empty()) problems_.add(node.position, "'listener-tls' needs a 'certificate'");
         out_.listener_tls = std::move(tls);
     }
 
@@ -284,7 +286,7 @@
         Block block(node.children, node.position, unique_name("kind", node, kind_names_), problems_);
         block.word("role", {"prefill", "decode", "mixed"}, settings.role, kRequired);
         block.real("memory-tokens", settings.memory_tokens, 0, 1e12);
-        block.wholes("not-run-status", config.not_run_statuses, 400, 599);
+        block.integers("not-run-status", config.not_run_statuses, 400, 599);
         block.boolean("release", config.release);
         block.boolean("cache-events", config.cache_events);
         block.each("tls", 0, [&](const kdl::Node& tls) { read_server_tls(tls, config.tls); });
@@ -301,7 +303,8 @@
         Block block(node.children, node.position, unique_name("tenant", node, tenant_names_), problems_);
         block.real("quota-per-second", settings.quota_per_s, 0, 1e9, kRequired);
         block.each("key", 1, [&](const kdl::Node& key) {
-            if (!keys_.insert(name_of(key)).second) problems_.add(key.position, "this key is given twice");
+            if (!keys_.insert(name_of(key)).second)
+                problems_.add(key.position, "this API key is given twice");
             config.keys.push_back(name_of(key));
         });
         block.done();
@@ -332,12 +335,12 @@
                               "server '" + server.name + "': " + name + "= must be \"IP:PORT\"");
         }
         unique_name("server", node, server_names_);
-        if (!node.children.empty()) problems_.add(node.position, "'server' has no children");
+        if (!node.children.empty()) problems_.add(node.position, "'server' must not have children");
         kinds_used_.emplace_back(node.position, server.kind);
         out_.servers.push_back(std::move(server));
     }
 
-    // Checks what concerns several settings.
+    // Checks rules that involve several settings.
     void check() {
         Settings& router = out_.router;
         if (router.classes.empty()) problems_.add({}, "the settings need a 'class'");
@@ -348,13 +351,14 @@
         const CacheEvents& events = out_.cache_events;
         if (events.vocabulary == Vocabulary::tokenizer &&
             (events.tokenizer.empty() || events.prompt_message.find("{content}") == std::string::npos))
-            problems_.add(
-                {},
-                "vocabulary \"tokenizer\" needs 'tokenizer', a file, and 'prompt-message', with {content}");
+            problems_.add({},
+                          "vocabulary \"tokenizer\" needs the file 'tokenizer' and a 'prompt-message' that "
+                          "contains {content}");
         if (router.tick <= Duration::zero()) problems_.add({}, "'tick' must be above 0");
         if (router.release_within < 4 * router.tick)
             problems_.add({}, "'release-within' must be at least four times 'tick'");
-        if (out_.require_key && keys_.empty()) problems_.add({}, "'require-key' needs tenants with keys");
+        if (out_.require_key && keys_.empty())
+            problems_.add({}, "'require-key' needs at least one tenant with a key");
         if (out_.load_source != LoadSource::none)
             router.report_fields = {ReportField::active, ReportField::memory_share};
     }
@@ -363,7 +367,7 @@
     Problems& problems_;
     EdgeSettings out_;
     std::set<std::string> class_names_, kind_names_, tenant_names_, server_names_, keys_;
-    std::vector<std::pair<kdl::SourcePosition, std::string>> kinds_used_;  // by servers
+    std::vector<std::pair<kdl::SourcePosition, std::string>> kinds_used_;  // kinds of the servers
 };
 
 }  // namespace
--- a/tests/config/kdl_numbers_test.cpp
+++ b/tests/config/kdl_numbers_test.cpp
@@ -1,4 +1,4 @@
-// KDL's numbers: values, and which error each malformed or too large one gives.
+// Tests the parser of KDL numbers: parsed values, and the error for malformed and out-of-range numbers.
 #include <gtest/gtest.h>
 
 #include "config/kdl/numbers.hpp"
@@ -6,7 +6,7 @@
 namespace chalksail::kdl {
 namespace {
 
-TEST(KdlNumbers, ErrorsTellMalformedFromTooLarge) {
+TEST(KdlNumbers, MalformedAndOutOfRangeNumbersHaveDifferentErrors) {
     for (const char* text : {"1.", "0x", "0xg", "0b12", "1e", "1.5.2", "1._5", "+", "1._", "0x_1"}) {
         const auto number = parse_number(text);
         ASSERT_FALSE(number) << text;
@@ -17,7 +17,7 @@
     EXPECT_EQ(parse_number("1e999").error(), NumberError::out_of_range);
 }
 
-TEST(KdlNumbers, BoundsFit) {
+TEST(KdlNumbers, LargestAndSmallestIntegersAreParsed) {
     EXPECT_EQ(std::get<std::int64_t>(parse_number("-9223372036854775808").value()), INT64_MIN);
     EXPECT_EQ(std::get<std::int64_t>(parse_number("9223372036854775807").value()), INT64_MAX);
     EXPECT_EQ(std::get<std::int64_t>(parse_number("0xff_ff").value()), 65'535);
--- a/tests/config/kdl_test.cpp
+++ b/tests/config/kdl_test.cpp
@@ -1,4 +1,4 @@
-// The KDL 2 parser: corner cases of the grammar, and errors with their places.
+// Tests the KDL 2 parser: corner cases of the grammar, and the positions of errors.
 #include "config/kdl/kdl.hpp"
 
 #include <gtest/gtest.h>
@@ -87,7 +87,7 @@
     EXPECT_EQ(d.nodes[0].properties[0].value.type, "f");
 }
 
-TEST(Kdl, ErrorsHaveAPlace) {
+TEST(Kdl, ErrorsHaveAPosition) {
     EXPECT_EQ(fails("a\nb {\n  c \"x\n}").substr(0, 4), "3:7 ");
     EXPECT_EQ(fails("n true").substr(0, 4), "1:3 ");
     EXPECT_EQ(fails("é }").substr(0, 4), "1:3 ");  // columns count characters, not bytes
@@ -102,7 +102,7 @@
 }
 
 TEST(Kdl, QuotedTextRoundTrips) {
-    EXPECT_TRUE(rc::check("quote then read", [](const std::vector<unsigned char>& raw) {
+    EXPECT_TRUE(rc::check("quote then parse", [](const std::vector<unsigned char>& raw) {
         std::string text;
         for (const auto c : raw) text += static_cast<char>(c % 0x7f);
         for (auto& c : text)
@@ -113,7 +113,7 @@
     }));
 }
 
-TEST(Kdl, ChildrenHaveTheirTextRange) {
+TEST(Kdl, NodesHaveTheTextRangeOfTheirChildren) {
     const std::string text = "a { b 1; c }";
     const auto d = good(text);
     EXPECT_EQ(text.substr(d.nodes[0].children_begin, d.nodes[0].children_end - d.nodes[0].children_begin),
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -1,4 +1,4 @@
-// The settings' schema: what is rejected, with place and suggestion.
+// Tests the settings' schema: defaults, rejected settings, and the positions and suggestions of problems.
 #include "config/settings.hpp"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
     EXPECT_EQ(out->limits.body_bytes, 8U * 1024 * 1024);
 }
 
-TEST(Settings, UnknownNamesAreRejectedWithPlaceAndSuggestion) {
+TEST(Settings, UnknownNamesAreRejectedWithPositionAndSuggestion) {
     const auto reported =
         problems(std::string(kMinimal) + "limits {\n  dial-queu 5\n}\nsever \"x\" kind=\"r\"\n");
     EXPECT_NE(
@@ -50,14 +50,14 @@
 rules { tick "fast"; max-attempts 0; }
 )");
     for (const char* wanted :
-         {"within the deadline", "'effect' wants one of repeatable by-key once", "'when' wants",
-          "'is' goes with", "needs 'aim'", "class 'chat' is given twice", "'role' wants one of",
-          "unknown kind 'q'", "needs address=", "server 'a' is given twice", "has no 'color'",
-          "unknown setting 'tick'", "a time such as", "from 1 to 16"})
+         {"'aim' must be above 0 and at most 'deadline'", "'effect' must be one of: repeatable by-key once",
+          "'when' must have", "'is' requires", "needs 'aim'", "class 'chat' is given twice",
+          "'role' must be one of", "unknown kind 'q'", "needs address=", "server 'a' is given twice",
+          "has no property 'color'", "unknown setting 'tick'", "a duration such as", "from 1 to 16"})
         EXPECT_NE(reported.find(wanted), std::string::npos) << wanted << " in\n" << reported;
 }
 
-TEST(Settings, EmptyFileReportsWhatIsRequired) {
+TEST(Settings, EmptyFileReportsMissingRequiredSettings) {
     const auto reported = problems("");
     EXPECT_NE(reported.find("need a 'class'"), std::string::npos);
     EXPECT_NE(reported.find("need a 'kind'"), std::string::npos);
